--- a/bench/accord.cpp
+++ b/bench/accord.cpp
@@ -6,17 +6,17 @@
 #include <chrono>
 #include <cstdio>
 
-#include "fleet/accords.h"
+#include "cluster/shared_config_cluster.h"
 
 using namespace cairnhub;
-using namespace cairnhub::fleet;
+using namespace cairnhub::cluster;
 
 int main() {
   std::printf(
       "brokers  all on a new version, ms  with a tenth cut off, ms  messages/s a broker  bytes/s a broker\n");
   for (const int n : {10, 100, 300, 1000}) {
     Seeded world(static_cast<std::uint64_t>(n));
-    accord::Terms terms;
+    shared_config::Terms terms;
     Accords f(world, n, 3, terms, 0.01);
     f.start_all();
     if (!world.play(world.now() + 60 * kSecond, [&] { return f.settled(); }))
@@ -46,7 +46,7 @@
                 weight, all && forced && f.longest == 0 ? "" : "  NOT as it should be");
     std::fflush(stdout);
   }
-  accord::Holder holder({}, {});
+  shared_config::Holder holder({}, {});
   using Clock = std::chrono::steady_clock;
   constexpr int kLooks = 20'000'000;
   std::uint64_t sum = 0;
--- a/bench/peers.cpp
+++ b/bench/peers.cpp
@@ -9,10 +9,10 @@
 #include <set>
 #include <vector>
 
-#include "fleet/membership_cluster.h"
+#include "cluster/membership_cluster.h"
 
 using namespace cairnhub;
-using namespace cairnhub::fleet;
+using namespace cairnhub::cluster;
 
 namespace {
 
--- a/bench/phases.cpp
+++ b/bench/phases.cpp
@@ -4,10 +4,10 @@
 #include <algorithm>
 #include <random>
 
-#include "phases/plan.h"
+#include "two_phase/query_plan.h"
 
 using namespace cairnhub;
-using namespace cairnhub::phases;
+using namespace cairnhub::two_phase;
 
 namespace {
 
@@ -80,7 +80,7 @@
   const std::string match = value(1), fetch = R"({"version":"1","stalls":[{"stall":"stall-0","detail":{}}]})";
   std::int64_t events = 0;
   for (auto _ : s) {
-    phases::Query q;
+    two_phase::Query q;
     for (int b = 0; b < blocks; ++b) q.blocks.push_back({b, 1.0 / blocks});
     q.left = kSecond, q.limit = 10;
     Plan p(planner, std::move(q), 0);
--- a/bench/upkeep.cpp
+++ b/bench/upkeep.cpp
@@ -6,10 +6,10 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "fleet/work_world.h"
+#include "cluster/work_world.h"
 
 using namespace cairnhub;
-using namespace cairnhub::fleet;
+using namespace cairnhub::cluster;
 
 namespace {
 constexpr int kOneByOneMost = 50;
--- a/bench/zones.cpp
+++ b/bench/zones.cpp
@@ -7,10 +7,10 @@
 #include <cstdlib>
 #include <vector>
 
-#include "fleet/zone_world.h"
+#include "cluster/zone_world.h"
 
 using namespace cairnhub;
-using namespace cairnhub::fleet;
+using namespace cairnhub::cluster;
 
 int main(int argc, char** argv) {
   const int seeds = argc > 1 ? std::atoi(argv[1]) : 20, from = argc > 2 ? std::atoi(argv[2]) : 1;
--- a/fuzz/messages.cpp
+++ b/fuzz/messages.cpp
@@ -4,14 +4,14 @@
 #include <cstdlib>
 #include <string_view>
 
-#include "accord.pb.h"
-#include "accord/accord.h"
-#include "accord/wire.h"
+#include "maintenance/job_codec.h"
 #include "membership/message_codec.h"
 #include "membership/swim_membership.h"
+#include "shared_config.pb.h"
+#include "shared_config/log_codec.h"
+#include "shared_config/shared_config_node.h"
 #include "transport/message_sealer.h"
-#include "upkeep/codec.h"
-#include "zones/report.h"
+#include "zone_failover/zone_report.h"
 
 using namespace cairnhub;
 
@@ -52,54 +52,54 @@
       break;
     }
     case 2:
-      if (const auto e = accord::decode_entry(text)) {
-        accord::Versions book;
+      if (const auto e = shared_config::decode_entry(text)) {
+        shared_config::Versions book;
         const auto v = book.apply(*e);
         must(v.number != 0 || !v.refused.empty());
-        accord::Versions copy;
+        shared_config::Versions copy;
         must(copy.restore(book.snapshot()) && copy.newest() == book.newest());
       }
       break;
     case 7:
-      if (const auto m = upkeep::decode(text)) {
-        const auto again = upkeep::decode(upkeep::encode(*m));
+      if (const auto m = maintenance::decode(text)) {
+        const auto again = maintenance::decode(maintenance::encode(*m));
         must(again && again->stand_down == m->stand_down && again->clear.has_value() == m->clear.has_value());
         if (m->clear) must(again->clear->out == m->clear->out && again->clear->low == m->clear->low);
       }
       break;
     case 8: {
       // An entry on works, on a board that holds one already.
-      accord::Entry e;
-      e.kind = accord::Entry::Kind::board;
+      shared_config::Entry e;
+      e.kind = shared_config::Entry::Kind::board;
       e.text = "facts { cells: 3 width: 2 terms { at_once: 1 } node { name: \"n\" ready: true warm: true } }";
-      accord::Versions book(std::make_shared<upkeep::Works>());
+      shared_config::Versions book(std::make_shared<maintenance::Works>());
       must(book.apply(e).number != 0);
       e.text = std::string(text);
       const auto v = book.apply(e);
       must(v.number != 0 || !v.refused.empty());
-      accord::Versions copy(std::make_shared<upkeep::Works>());
+      shared_config::Versions copy(std::make_shared<maintenance::Works>());
       must(copy.restore(book.snapshot()) && copy.board()->snapshot() == book.board()->snapshot());
-      upkeep::Works().restore(text);
+      maintenance::Works().restore(text);
       break;
     }
     case 3: {
-      accord::Versions book;
+      shared_config::Versions book;
       if (book.restore(text)) must(book.at(book.in_force()) != nullptr);
       break;
     }
     case 4:
       try {
-        const auto rules = accord::parse_rules(std::string(text), "fuzz");
-        must(accord::parse_rules(accord::text_of(rules), "again") == rules);
-        must(accord::within(accord::meet(rules, rules), rules));
-      } catch (const accord::RulesError&) {
+        const auto rules = shared_config::parse_rules(std::string(text), "fuzz");
+        must(shared_config::parse_rules(shared_config::text_of(rules), "again") == rules);
+        must(shared_config::within(shared_config::meet(rules, rules), rules));
+      } catch (const shared_config::RulesError&) {
       }
       break;
     case 6:
-      if (const auto r = zones::decode(text)) {
-        const auto again = zones::decode(zones::encode(*r));
+      if (const auto r = zone_failover::decode(text)) {
+        const auto again = zone_failover::decode(zone_failover::encode(*r));
         must(again && again->zones.size() == r->zones.size() && again->home == r->home);
-        zones::Evidence e({});
+        zone_failover::Evidence e({});
         e.heard(kSecond, "other", *r);
         for (const auto& [name, zone] : e.look(kSecond).zones) must(zone.bears >= 0 && zone.bears <= 1);
       }
@@ -107,9 +107,9 @@
     default: {
       accord::wire::Packet p;
       if (!p.ParseFromArray(text.data(), static_cast<int>(text.size()))) break;
-      accord::Terms terms;
+      shared_config::Terms terms;
       terms.voters = {"other"};
-      accord::Accord a(terms, "self", nullptr, {}, 1);
+      shared_config::Accord a(terms, "self", nullptr, {}, 1);
       a.start(kSecond);
       a.received(2 * kSecond, "other", p);
       must(a.acting(3 * kSecond)->rules != nullptr);
--- a/fuzz/readers.cpp
+++ b/fuzz/readers.cpp
@@ -2,14 +2,14 @@
 // a reader takes must hold what its header promises; anything else ends the run.
 //
 //   clang++ -std=c++20 -g -O1 -fsanitize=fuzzer,address,undefined -Isrc fuzz/readers.cpp src/opensearch/*.cpp
-//     src/phases/values.cpp -lxxhash -o build/fuzz_readers && build/fuzz_readers -runs=20000 -seed=1
-//     fuzz/corpus
+//     src/two_phase/host_messages.cpp -lxxhash -o build/fuzz_readers && build/fuzz_readers -runs=20000
+//     -seed=1 fuzz/corpus
 #include <cstdint>
 #include <cstdlib>
 #include <string_view>
 
 #include "opensearch/merge.h"
-#include "phases/values.h"
+#include "two_phase/host_messages.h"
 
 using namespace cairnhub;
 using namespace cairnhub::opensearch;
@@ -64,15 +64,15 @@
       break;
     }
     case 5: {
-      phases::MatchList list;
-      if (phases::read_match(text, 8, nullptr, list)) break;
+      two_phase::MatchList list;
+      if (two_phase::read_match(text, 8, nullptr, list)) break;
       must(list.entries.size() <= 8 && list.entries.size() <= list.total);
       for (std::size_t i = 0; i < list.entries.size(); ++i) must(!list.id(i).empty());
       break;
     }
     default: {
-      phases::Details d;
-      if (phases::read_details(text, {"a", "b"}, "1", d)) break;
+      two_phase::Details d;
+      if (two_phase::read_details(text, {"a", "b"}, "1", d)) break;
       for (const auto& [stall, detail] : d.stalls) must(json::parse(detail).is_object());
     }
   }
--- a/src/hosts/frames/frame.cpp
+++ b/src/backend/framed/frame_codec.cpp
@@ -1,6 +1,6 @@
-#include "hosts/frames/frame.h"
+#include "backend/framed/frame_codec.h"
 
-namespace cairnhub::broker::frame {
+namespace cairnhub::backend::framed {
 
 namespace {
 
@@ -49,4 +49,4 @@
   return out;
 }
 
-}  // namespace cairnhub::broker::frame
+}  // namespace cairnhub::backend::framed
--- a/src/hosts/frames/frame.h
+++ b/src/backend/framed/frame_codec.h
@@ -7,7 +7,7 @@
 
 #include "base/time.h"
 
-namespace cairnhub::broker::frame {
+namespace cairnhub::backend::framed {
 
 constexpr std::size_t kLengthBytes = 4;
 // No frame from a node may be longer: no body to a client is.
@@ -36,4 +36,4 @@
 // Reads a frame's letter and rest. None where it is no well-formed end of a part.
 std::optional<Ended> read(std::string_view letter_and_rest);
 
-}  // namespace cairnhub::broker::frame
+}  // namespace cairnhub::backend::framed
--- a/src/hosts/frames/sender.cpp
+++ b/src/backend/framed/framed_client.cpp
@@ -1,4 +1,4 @@
-#include "hosts/frames/sender.h"
+#include "backend/framed/framed_client.h"
 
 #include <event2/buffer.h>
 
@@ -8,11 +8,11 @@
 #include <unordered_map>
 #include <utility>
 
+#include "backend/framed/frame_codec.h"
 #include "base/clock.h"
 #include "base/sockets.h"
-#include "hosts/frames/frame.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::backend {
 
 namespace {
 
@@ -35,7 +35,7 @@
 };
 
 struct Sender::InFlight {
-  Attempt* attempt = nullptr;
+  dispatch::Attempt* attempt = nullptr;
   Node* node = nullptr;
   Connection* connection = nullptr;
   Call* call = nullptr;
@@ -47,12 +47,12 @@
 struct Sender::Connection {
   struct GivenUp {
     std::size_t name;  // hashed
-    Account whose;
+    dispatch::Account whose;
   };
   struct Span {  // handed over, and maybe not written yet; only where bytes are counted
     std::uint64_t ends;
     std::size_t size;
-    Account whose;
+    dispatch::Account whose;
   };
   Sender* sender = nullptr;
   Node* node = nullptr;
@@ -129,7 +129,7 @@
   for (auto& connection : slot->connections)
     for (auto& call : connection->waiting)
       withdrawn.insert(withdrawn.end(), call->parts.begin(), call->parts.end());
-  for (InFlight* sent : withdrawn) stop(*sent, End::given_up);
+  for (InFlight* sent : withdrawn) stop(*sent, dispatch::End::given_up);
 }
 
 void Sender::forget(EndpointId id) {
@@ -153,12 +153,12 @@
   }
 }
 
-void Sender::send(Attempt& attempt, EndpointId to) {
+void Sender::send(dispatch::Attempt& attempt, EndpointId to) {
   Node& n = *nodes_.at(to);
   auto& sent = in_flight_[&attempt] = std::make_unique<InFlight>();
   sent->attempt = &attempt, sent->node = &n;
   sent->timeout = std::make_unique<Timer>(base_, [this, w = sent.get()] {
-    stop(*w, End::timed_out);
+    stop(*w, dispatch::End::timed_out);
     turn_();
   });
   sent->timeout->start(attempt.until - now());
@@ -166,9 +166,9 @@
   n.this_turn.push_back(sent.get());
 }
 
-void Sender::give_up(Attempt& attempt) {
+void Sender::give_up(dispatch::Attempt& attempt) {
   const auto it = in_flight_.find(&attempt);
-  if (it != in_flight_.end()) stop(*it->second, End::given_up);
+  if (it != in_flight_.end()) stop(*it->second, dispatch::End::given_up);
 }
 
 void Sender::flush() {
@@ -178,7 +178,8 @@
       const std::size_t upto = std::min(parts.size(), i + limits_.parts_a_call);
       Connection* connection = connection_with_room(*n);
       if (!connection) {  // none may be opened: not the node's doing, and it never ran
-        for (; i < upto; ++i) finish(*parts[i], {End::given_up, Reached::never_connected, {}});
+        for (; i < upto; ++i)
+          finish(*parts[i], {dispatch::End::given_up, dispatch::Reached::never_connected, {}});
         continue;
       }
       auto call = std::make_unique<Call>();
@@ -233,7 +234,7 @@
   // Danger: a length or a line that is never filled. The node is of no further use on this connection, and
   // all that waits there would wait for nothing.
   connection->rest = std::make_unique<Timer>(base_, [this, connection] {
-    break_off(*connection, "a frame without end", End::spoilt);
+    break_off(*connection, "a frame without end", dispatch::End::spoilt);
     turn_();
   });
   if (bufferevent_socket_connect(connection->bev, reinterpret_cast<sockaddr*>(&connection->to.at),
@@ -288,14 +289,14 @@
 // Danger: a connection comes up late. The client has no time left, or repeats are no longer dropped, and the
 // attempt would be told a time that is none or take effect twice.
 void Sender::withdraw_expired(Connection& connection) {
-  std::vector<std::pair<InFlight*, End>> expired;
+  std::vector<std::pair<InFlight*, dispatch::End>> expired;
   const Time at = now();
   for (const auto& call : connection.waiting)
     for (InFlight* sent : call->parts) {
       if (sent->attempt->until <= at)
-        expired.emplace_back(sent, End::timed_out);
+        expired.emplace_back(sent, dispatch::End::timed_out);
       else if (sent->attempt->begin_by < at)
-        expired.emplace_back(sent, End::given_up);
+        expired.emplace_back(sent, dispatch::End::given_up);
     }
   for (const auto& [sent, why] : expired) stop(*sent, why);
 }
@@ -307,10 +308,10 @@
   while (!connection.waiting.empty() && evbuffer_get_length(output) < kHandedMost) {
     std::unique_ptr<Call> call = std::move(connection.waiting.front());
     connection.waiting.pop_front();
-    frame::Call bytes;
+    framed::Call bytes;
     std::vector<std::size_t> upto;  // of the parts' bytes, where they are counted
     for (InFlight* sent : call->parts) {
-      const Part& p = *sent->attempt->part;
+      const dispatch::Part& p = *sent->attempt->part;
       bytes.add(p.name, p.shard, sent->attempt->until - now(),
                 p.target.empty() ? (p.text ? *p.text : p.query->text)
                                  : p.target + "\n" + (p.text ? *p.text : p.query->text));
@@ -331,7 +332,7 @@
 }
 
 // Counts them, and remembers what may never be written.
-void Sender::handed_over(Connection& connection, const Attempt& attempt, std::size_t bytes) {
+void Sender::handed_over(Connection& connection, const dispatch::Attempt& attempt, std::size_t bytes) {
   if (!count_) return;
   count_({connection.node->id, attempt.account, static_cast<long long>(bytes), 0});
   while (!connection.spans.empty() && connection.spans.front().ends <= connection.written())
@@ -342,15 +343,15 @@
 void Sender::readable(Connection& connection) {
   evbuffer* input = bufferevent_get_input(connection.bev);
   for (;;) {
-    unsigned char head[frame::kLengthBytes];
+    unsigned char head[framed::kLengthBytes];
     const bool begun = evbuffer_copyout(input, head, sizeof head) == static_cast<ev_ssize_t>(sizeof head);
-    const std::size_t n = begun ? frame::length(head) : 1;
-    if (n == 0 || n > frame::kLongest)
-      return break_off(connection, "a frame of no possible length", End::spoilt);
+    const std::size_t n = begun ? framed::length(head) : 1;
+    if (n == 0 || n > framed::kLongest)
+      return break_off(connection, "a frame of no possible length", dispatch::End::spoilt);
     if (!begun || evbuffer_get_length(input) < sizeof head + n) break;
     const char* bytes = reinterpret_cast<const char*>(evbuffer_pullup(input, sizeof head + n)) + sizeof head;
     if (const char* wrong = take_frame(connection, {bytes, n}))
-      return break_off(connection, wrong, End::spoilt);
+      return break_off(connection, wrong, dispatch::End::spoilt);
     evbuffer_drain(input, sizeof head + n);
     connection.rest->stop();
   }
@@ -361,15 +362,15 @@
 }
 
 const char* Sender::take_frame(Connection& connection, std::string_view bytes) {
-  const auto ended = frame::read(bytes);
+  const auto ended = framed::read(bytes);
   if (!ended) return bytes[0] == 'F' ? "node can't use a frame" : "a malformed frame";
   const auto it = connection.out.find(ended->id);
   const Connection::GivenUp* given_up = connection.was_given_up(ended->id);
   if (count_) {
-    const Account whose = it != connection.out.end() ? it->second->attempt->account
-                          : given_up                 ? given_up->whose
-                                                     : Account{};
-    count_({connection.node->id, whose, 0, static_cast<long long>(bytes.size() + frame::kLengthBytes)});
+    const dispatch::Account whose = it != connection.out.end() ? it->second->attempt->account
+                                    : given_up                 ? given_up->whose
+                                                               : dispatch::Account{};
+    count_({connection.node->id, whose, 0, static_cast<long long>(bytes.size() + framed::kLengthBytes)});
   }
   // One for a part that is over crosses its give-up, or is a second copy: ordinary, dropped. Danger: one for
   // a part of nobody stands for one that waits, and the node says nothing more here.
@@ -378,32 +379,32 @@
   connection.counted = now(), connection.silence = 0, connection.in_vain = 0;
   connection.answered = ended->id;
   // Danger: a name used again after it was given up here. This may be the value made for the earlier one.
-  const End end = given_up                                    ? End::error
-                  : ended->how == frame::Ended::How::returned ? End::returned
-                  : ended->how == frame::Ended::How::full     ? End::full
-                                                              : End::error;
-  finish(*it->second, {end, Reached::wholly_written, ended->value});
+  const dispatch::End end = given_up                                     ? dispatch::End::error
+                            : ended->how == framed::Ended::How::returned ? dispatch::End::returned
+                            : ended->how == framed::Ended::How::full     ? dispatch::End::full
+                                                                         : dispatch::End::error;
+  finish(*it->second, {end, dispatch::Reached::wholly_written, ended->value});
   return nullptr;
 }
 
 // How far a send on a broken connection had come.
-Reached Sender::reached(const InFlight& sent) const {
-  if (!sent.connection->up) return Reached::never_connected;
-  return sent.begun() && sent.connection->written() >= sent.call->ends ? Reached::wholly_written
-                                                                       : Reached::partly_written;
+dispatch::Reached Sender::reached(const InFlight& sent) const {
+  if (!sent.connection->up) return dispatch::Reached::never_connected;
+  return sent.begun() && sent.connection->written() >= sent.call->ends ? dispatch::Reached::wholly_written
+                                                                       : dispatch::Reached::partly_written;
 }
 
-void Sender::withdraw(Attempt& attempt) {
+void Sender::withdraw(dispatch::Attempt& attempt) {
   const auto it = in_flight_.find(&attempt);
-  if (it != in_flight_.end() && !it->second->begun()) stop(*it->second, End::given_up);
+  if (it != in_flight_.end() && !it->second->begun()) stop(*it->second, dispatch::End::given_up);
 }
 
 // Ends a send from this side: withdrawn where its frame is not begun, else the node is told. Danger: a frame
 // handed over is written to its end, and may run though its last byte was not out when it was given up.
-void Sender::stop(InFlight& sent, End why) {
+void Sender::stop(InFlight& sent, dispatch::End why) {
   const bool told = sent.begun();
   if (told) {
-    const std::string bytes = frame::give_up(sent.attempt->part->name);
+    const std::string bytes = framed::give_up(sent.attempt->part->name);
     sent.connection->handed += bytes.size();
     bufferevent_write(sent.connection->bev, bytes.data(), bytes.size());
     handed_over(*sent.connection, *sent.attempt, bytes.size());
@@ -413,14 +414,14 @@
     sent.connection->waited_in_vain(sent.attempt->sent_at);
   }
   Connection* connection = sent.connection;
-  finish(sent, {why, told ? Reached::wholly_written : Reached::never_connected, {}});
+  finish(sent, {why, told ? dispatch::Reached::wholly_written : dispatch::Reached::never_connected, {}});
   if (told && evbuffer_get_length(bufferevent_get_output(connection->bev)) > kUnreadMost)
     break_off(*connection, "reads nothing");
 }
 
 // The one place where a send ends.
-void Sender::finish(InFlight& sent, const Result& result) {
-  Attempt& attempt = *sent.attempt;
+void Sender::finish(InFlight& sent, const dispatch::Result& result) {
+  dispatch::Attempt& attempt = *sent.attempt;
   std::erase(sent.node->this_turn, &sent);
   if (Connection* connection = sent.connection) {
     const auto named = connection->out.find(attempt.part->name);
@@ -441,11 +442,11 @@
 }
 
 // Ends a connection and all that is out on it. No reason: it was idle.
-void Sender::break_off(Connection& connection, const char* why, End how) {
+void Sender::break_off(Connection& connection, const char* why, dispatch::End how) {
   if (why)
     log("node", "%s: %s, %zu calls on the connection", connection.node->name.c_str(), why,
         connection.calls());
-  std::vector<std::pair<InFlight*, Reached>> lost;
+  std::vector<std::pair<InFlight*, dispatch::Reached>> lost;
   for (auto* calls : {&connection.under_way, &connection.waiting})
     for (auto& call : *calls)
       for (InFlight* sent : call->parts) lost.emplace_back(sent, reached(*sent));
@@ -460,4 +461,4 @@
   std::erase_if(connection.node->connections, [&](const auto& c) { return c.get() == &connection; });
 }
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::backend
--- a/src/hosts/frames/sender.h
+++ b/src/backend/framed/framed_client.h
@@ -9,10 +9,10 @@
 #include <vector>
 
 #include "base/timer.h"
-#include "broker/hosts.h"
-#include "broker/query.h"
+#include "dispatch/backend.h"
+#include "dispatch/query.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::backend {
 
 struct SendLimits {
   int calls_a_connection, parts_a_call;
@@ -20,7 +20,7 @@
   std::size_t connections;
 };
 
-class Sender : public Hosts {
+class Sender : public dispatch::Hosts {
  public:
   Sender(event_base* base, SendLimits limits, Ended ended, std::function<void()> turn);
   ~Sender() override;
@@ -28,9 +28,9 @@
   void node(EndpointId id, const std::string& name, const Address& address, EndpointState state) override;
   void forget(EndpointId id) override;
   void let_go(EndpointId id) override;
-  void send(Attempt& attempt, EndpointId to) override;
-  void give_up(Attempt& attempt) override;
-  void withdraw(Attempt& attempt) override;
+  void send(dispatch::Attempt& attempt, EndpointId to) override;
+  void give_up(dispatch::Attempt& attempt) override;
+  void withdraw(dispatch::Attempt& attempt) override;
   void flush() override;
 
  private:
@@ -47,11 +47,11 @@
   void readable(Connection& connection);
   void happened(Connection& connection, short what);
   const char* take_frame(Connection& connection, std::string_view bytes);  // what is wrong with it, or null
-  void break_off(Connection& connection, const char* why, End how = End::broken);
-  void finish(InFlight& sent, const Result& result);
-  void stop(InFlight& sent, End why);
-  Reached reached(const InFlight& sent) const;
-  void handed_over(Connection& connection, const Attempt& attempt, std::size_t bytes);
+  void break_off(Connection& connection, const char* why, dispatch::End how = dispatch::End::broken);
+  void finish(InFlight& sent, const dispatch::Result& result);
+  void stop(InFlight& sent, dispatch::End why);
+  dispatch::Reached reached(const InFlight& sent) const;
+  void handed_over(Connection& connection, const dispatch::Attempt& attempt, std::size_t bytes);
 
   event_base* base_;
   SendLimits limits_;
@@ -59,8 +59,8 @@
   std::function<void()> turn_;
   std::size_t open_ = 0;
   std::map<EndpointId, std::unique_ptr<Node>> nodes_;
-  std::map<Attempt*, std::unique_ptr<InFlight>> in_flight_;
+  std::map<dispatch::Attempt*, std::unique_ptr<InFlight>> in_flight_;
   std::vector<Node*> touched_;  // this turn, in the order first sent to
 };
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::backend
--- a/src/hosts/search/searcher.cpp
+++ b/src/backend/opensearch/search_client.cpp
@@ -1,4 +1,4 @@
-#include "hosts/search/searcher.h"
+#include "backend/opensearch/search_client.h"
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -10,7 +10,7 @@
 #include "base/clock.h"
 #include "base/sockets.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::backend {
 
 namespace {
 
@@ -19,7 +19,7 @@
 }  // namespace
 
 struct Searcher::Way {
-  Attempt* attempt = nullptr;
+  dispatch::Attempt* attempt = nullptr;
   Node* node = nullptr;
   Link* link = nullptr;  // none while it waits for one
   std::unique_ptr<Timer> timeout;
@@ -44,10 +44,10 @@
     static_cast<Link*>(at)->came += info->n_added;
   }
   bool wholly_written() const { return to_write > 0 && written >= to_write; }
-  Reached reached() const {
-    return to_write == 0 || written == 0 ? Reached::never_connected
-           : wholly_written()            ? Reached::wholly_written
-                                         : Reached::partly_written;
+  dispatch::Reached reached() const {
+    return to_write == 0 || written == 0 ? dispatch::Reached::never_connected
+           : wholly_written()            ? dispatch::Reached::wholly_written
+                                         : dispatch::Reached::partly_written;
   }
 };
 
@@ -101,7 +101,7 @@
   // Rule 3. Danger: what waits for a free connection would be sent long after the node said it drains.
   std::vector<Way*> withdrawn(n.waiting.begin(), n.waiting.end());
   withdrawn.insert(withdrawn.end(), n.this_turn.begin(), n.this_turn.end());
-  for (Way* w : withdrawn) stop(*w, End::given_up);
+  for (Way* w : withdrawn) stop(*w, dispatch::End::given_up);
 }
 
 void Searcher::forget(EndpointId id) {
@@ -122,12 +122,12 @@
   for (Link* link : idle) drop(*link);
 }
 
-void Searcher::send(Attempt& attempt, EndpointId to) {
+void Searcher::send(dispatch::Attempt& attempt, EndpointId to) {
   Node& n = *nodes_.at(to);
   auto& way = ways_[&attempt] = std::make_unique<Way>();
   way->attempt = &attempt, way->node = &n;
   way->timeout = std::make_unique<Timer>(base_, [this, w = way.get()] {
-    stop(*w, End::timed_out);
+    stop(*w, dispatch::End::timed_out);
     turn_();
   });
   way->timeout->start(attempt.until - now());
@@ -151,7 +151,7 @@
     n.waiting.pop_front();
     // Danger: what may have run would be repeated after repeats are no longer dropped.
     if (way->attempt->begin_by < now())
-      finish(*way, {End::given_up, Reached::never_connected, {}});
+      finish(*way, {dispatch::End::given_up, dispatch::Reached::never_connected, {}});
     else
       begin(*way, *link);
   }
@@ -179,7 +179,7 @@
 }
 
 void Searcher::begin(Way& way, Link& link) {
-  const Part& p = *way.attempt->part;
+  const dispatch::Part& p = *way.attempt->part;
   way.link = &link, link.way = &way;
   link.to_write = link.written = link.came = 0, link.error = -1;
   link.request = evhttp_request_new(
@@ -203,7 +203,7 @@
   evhttp_connection_set_timeout_tv(link.connection, &until);
   if (evhttp_make_request(link.connection, link.request, EVHTTP_REQ_POST, p.target.c_str()) != 0) {
     link.request = nullptr;  // gone with the failure
-    finish(way, {End::broken, Reached::never_connected, {}});
+    finish(way, {dispatch::End::broken, dispatch::Reached::never_connected, {}});
     return drop(link);
   }
   send_without_delay(bufferevent_getfd(evhttp_connection_get_bufferevent(link.connection)));
@@ -218,12 +218,14 @@
   evbuffer* body = evhttp_request_get_input_buffer(r);
   const std::size_t n = evbuffer_get_length(body);
   const std::string_view value(n ? reinterpret_cast<const char*>(evbuffer_pullup(body, -1)) : "", n);
-  const End end = status == 200 ? End::returned : status == 429 || status == 503 ? End::full : End::error;
+  const dispatch::End end = status == 200                    ? dispatch::End::returned
+                            : status == 429 || status == 503 ? dispatch::End::full
+                                                             : dispatch::End::error;
   // An early refusal may come before the request was read whole; what is left of it can't be told from the
   // next.
   const bool reusable = link.wholly_written();
   Node& node = *link.node;
-  finish(*way, {end, Reached::wholly_written, value});
+  finish(*way, {end, dispatch::Reached::wholly_written, value});
   if (!reusable) drop(link);
   next(node);
 }
@@ -232,33 +234,33 @@
   const bool spoilt =
       why == EVREQ_HTTP_INVALID_HEADER || why == EVREQ_HTTP_DATA_TOO_LONG || why == EVREQ_HTTP_BUFFER_ERROR;
   log("node", "%s: %s", link.node->name.c_str(),
-      spoilt                                       ? "an answer that is no HTTP or too long"
-      : link.reached() == Reached::never_connected ? "refused or not connected"
-                                                   : "broken with a search out");
+      spoilt                                                 ? "an answer that is no HTTP or too long"
+      : link.reached() == dispatch::Reached::never_connected ? "refused or not connected"
+                                                             : "broken with a search out");
   Node& node = *link.node;
-  finish(*link.way, {spoilt ? End::spoilt : End::broken, link.reached(), {}});
+  finish(*link.way, {spoilt ? dispatch::End::spoilt : dispatch::End::broken, link.reached(), {}});
   drop(link);
   next(node);
 }
 
-void Searcher::give_up(Attempt& attempt) {
+void Searcher::give_up(dispatch::Attempt& attempt) {
   const auto it = ways_.find(&attempt);
-  if (it != ways_.end()) stop(*it->second, End::given_up);
+  if (it != ways_.end()) stop(*it->second, dispatch::End::given_up);
 }
 
-void Searcher::withdraw(Attempt& attempt) {
+void Searcher::withdraw(dispatch::Attempt& attempt) {
   const auto it = ways_.find(&attempt);
   if (it == ways_.end()) return;
   // Rule 1: one that still waits to be written, or whose connection isn't up, must not go out after the
   // answer.
   const Link* link = it->second->link;
-  if (!link || link->written == 0) stop(*it->second, End::given_up);
+  if (!link || link->written == 0) stop(*it->second, dispatch::End::given_up);
 }
 
-void Searcher::stop(Way& way, End why) {
+void Searcher::stop(Way& way, dispatch::End why) {
   Link* link = way.link;
   // Danger: bytes handed to the library go out until the connection is closed, which happens here and now.
-  const Reached far = link ? link->reached() : Reached::never_connected;
+  const dispatch::Reached far = link ? link->reached() : dispatch::Reached::never_connected;
   Node& node = *way.node;
   finish(way, {why, far, {}});
   if (link) drop(*link);
@@ -266,7 +268,7 @@
 }
 
 // The one place where a send ends.
-void Searcher::finish(Way& way, const Result& result) {
+void Searcher::finish(Way& way, const dispatch::Result& result) {
   std::erase(way.node->this_turn, &way);
   std::erase(way.node->waiting, &way);
   if (way.link) {
@@ -297,4 +299,4 @@
   sweep_.start(0);
 }
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::backend
--- a/src/hosts/search/searcher.h
+++ b/src/backend/opensearch/search_client.h
@@ -17,12 +17,12 @@
 #include <vector>
 
 #include "base/timer.h"
-#include "broker/hosts.h"
+#include "dispatch/backend.h"
 
 struct evhttp_connection;
 struct evhttp_request;
 
-namespace cairnhub::broker {
+namespace cairnhub::backend {
 
 struct SearchLimits {
   std::size_t a_node;       // connections, and so parts out
@@ -31,7 +31,7 @@
   Time idle_at_most;
 };
 
-class Searcher : public Hosts {
+class Searcher : public dispatch::Hosts {
  public:
   Searcher(event_base* base, SearchLimits limits, Ended ended, std::function<void()> turn);
   ~Searcher() override;
@@ -39,9 +39,9 @@
   void node(EndpointId id, const std::string& name, const Address& address, EndpointState state) override;
   void forget(EndpointId id) override;
   void let_go(EndpointId id) override;
-  void send(Attempt& attempt, EndpointId to) override;
-  void give_up(Attempt& attempt) override;
-  void withdraw(Attempt& attempt) override;
+  void send(dispatch::Attempt& attempt, EndpointId to) override;
+  void give_up(dispatch::Attempt& attempt) override;
+  void withdraw(dispatch::Attempt& attempt) override;
   void flush() override;
 
  private:
@@ -53,8 +53,8 @@
   Link* idle_link(Node& node);
   void answered(Link& link, evhttp_request* request);
   void broke(Link& link, int why);
-  void stop(Way& way, End why);
-  void finish(Way& way, const Result& result);
+  void stop(Way& way, dispatch::End why);
+  void finish(Way& way, const dispatch::Result& result);
   void drop(Link& link);
   void next(Node& node);
 
@@ -64,16 +64,16 @@
   std::function<void()> turn_;
   std::size_t open_ = 0;
   std::map<EndpointId, std::unique_ptr<Node>> nodes_;
-  std::map<Attempt*, std::unique_ptr<Way>> ways_;
+  std::map<dispatch::Attempt*, std::unique_ptr<Way>> ways_;
   std::vector<Node*> touched_;
   std::vector<std::unique_ptr<Link>> dropped_;  // freed outside the library's callbacks
   Timer sweep_;
 };
 
 // Nodes of either kind behind one door: each send goes where its node's kind is served.
-class MixedHosts : public Hosts {
+class MixedHosts : public dispatch::Hosts {
  public:
-  MixedHosts(Hosts& frames, Hosts& search) : frames_(frames), search_(search) {}
+  MixedHosts(dispatch::Hosts& frames, dispatch::Hosts& search) : frames_(frames), search_(search) {}
   // Nodes of this flavor in the list speak the API.
   void set_flavor(std::string flavor) { flavor_ = std::move(flavor); }
   bool is_search(const std::string& flavor) const { return !flavor_.empty() && flavor == flavor_; }
@@ -85,22 +85,22 @@
     of(id).node(id, name, address, state);
   }
   void forget(EndpointId id) override { of(id).forget(id), kinds_.erase(id); }
-  void send(Attempt& attempt, EndpointId to) override { of(to).send(attempt, to); }
-  void give_up(Attempt& attempt) override { of(attempt.node).give_up(attempt); }
-  void withdraw(Attempt& attempt) override { of(attempt.node).withdraw(attempt); }
+  void send(dispatch::Attempt& attempt, EndpointId to) override { of(to).send(attempt, to); }
+  void give_up(dispatch::Attempt& attempt) override { of(attempt.node).give_up(attempt); }
+  void withdraw(dispatch::Attempt& attempt) override { of(attempt.node).withdraw(attempt); }
   void flush() override { frames_.flush(), search_.flush(); }
   void look(std::function<void()> look) override { frames_.look(look), search_.look(std::move(look)); }
   void let_go(EndpointId id) override { of(id).let_go(id); }
   void count(Count count) override { frames_.count(count), search_.count(std::move(count)); }
 
  private:
-  Hosts& of(EndpointId id) {
+  dispatch::Hosts& of(EndpointId id) {
     const auto it = kinds_.find(id);
     return it == kinds_.end() ? frames_ : *it->second;
   }
-  Hosts &frames_, &search_;
+  dispatch::Hosts &frames_, &search_;
   std::string flavor_;
-  std::map<EndpointId, Hosts*> kinds_;
+  std::map<EndpointId, dispatch::Hosts*> kinds_;
 };
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::backend
--- a/src/cli/accord.cpp
+++ b/src/cli/accord.cpp
@@ -13,11 +13,11 @@
 #include <set>
 #include <string>
 
-#include "accord/engine.h"
-#include "accord/kept.h"
-#include "accord/rules.h"
 #include "cli/operator.h"
 #include "options/options.h"
+#include "shared_config/raft_node.h"
+#include "shared_config/rule_set.h"
+#include "shared_config/sqlite_store.h"
 
 namespace cairnhub::cli {
 
@@ -170,7 +170,7 @@
     std::ifstream in(s.file, std::ios::binary);
     if (!in) return complain(kRefused, s.file + ": can't be read");
     text.assign(std::istreambuf_iterator<char>(in), {});
-    accord::parse_rules(text, s.file);  // its faults are told with their place
+    shared_config::parse_rules(text, s.file);  // its faults are told with their place
   }
   std::uint64_t base = s.base;
   if (!base)
@@ -185,11 +185,11 @@
 }
 
 // The fleet's options with the folder to work on, the broker being stopped.
-std::unique_ptr<accord::Kept> folder_of(const options::Options& o, std::uint64_t id) {
+std::unique_ptr<shared_config::Kept> folder_of(const options::Options& o, std::uint64_t id) {
   if (!o.fleet || !o.fleet->accord || o.fleet->accord->folder.empty())
     throw std::runtime_error(o.file + ": states no accord with a folder");
   std::string aside;
-  auto store = accord::Kept::open(o.fleet->accord->folder, id, &aside);
+  auto store = shared_config::Kept::open(o.fleet->accord->folder, id, &aside);
   if (!aside.empty())
     std::fprintf(stderr, "cairnhub: the store was damaged and is set aside as %s\n", aside.c_str());
   return store;
@@ -201,12 +201,13 @@
   const auto& voters = o.fleet->accord->voters;
   if (std::find(voters.begin(), voters.end(), o.fleet->name) == voters.end())
     return complain(kRefused, o.fleet->name + " is not among the voters stated");
-  if (accord::Kept::there(o.fleet->accord->folder))
+  if (shared_config::Kept::there(o.fleet->accord->folder))
     return complain(kRefused, o.fleet->accord->folder + " holds a store already; nothing is changed");
-  const auto store = folder_of(o, accord::first_voter_id(o.fleet->name));
-  std::vector<accord::Voter> first;
-  for (const auto& v : voters) first.push_back({accord::first_voter_id(v), v, true});
-  if (!accord::Engine::bootstrap(*store, first)) return complain(kRefused, "the store can't be written");
+  const auto store = folder_of(o, shared_config::first_voter_id(o.fleet->name));
+  std::vector<shared_config::Voter> first;
+  for (const auto& v : voters) first.push_back({shared_config::first_voter_id(v), v, true});
+  if (!shared_config::Engine::bootstrap(*store, first))
+    return complain(kRefused, "the store can't be written");
   std::printf("%s is a voter of %zu; init the others with the same voters, once each, then start them\n",
               o.fleet->name.c_str(), voters.size());
   return kDone;
@@ -221,7 +222,7 @@
   const auto o = options::read(s.options);
   const auto store = folder_of(o, 1);
   if (store->loaded().term == 0) return complain(kRefused, "this store holds no log");
-  if (!accord::Engine::force_voters(*store, {{store->loaded().voter_id, o.fleet->name, true}}))
+  if (!shared_config::Engine::force_voters(*store, {{store->loaded().voter_id, o.fleet->name, true}}))
     return complain(kRefused, "the store can't be written");
   std::printf("%s is the only voter now; the others begin with empty folders and are taken in one by one\n",
               o.fleet->name.c_str());
--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -7,11 +7,11 @@
 #include <string>
 #include <vector>
 
-#include "broker/members.h"
 #include "cli/accord.h"
 #include "cli/serve.h"
 #include "cli/upkeep.h"
 #include "cli/zones.h"
+#include "dispatch/endpoint_registry.h"
 #include "options/options.h"
 #include "server/broker.h"
 #include "transport/mac_key.h"
@@ -37,11 +37,11 @@
 // configuration named last before them.
 int check(const std::vector<std::string>& files) {
   int faults = 0;
-  std::unique_ptr<broker::Config> config;
+  std::unique_ptr<dispatch::Config> config;
   for (const std::string& file : files) {
     try {
       if (is_configuration(file)) {
-        config = std::make_unique<broker::Config>(broker::read_config(file));
+        config = std::make_unique<dispatch::Config>(dispatch::read_config(file));
         RequestPolicy policy(config->seed);
         settings::apply(config->settings, policy);
         Address at;
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -9,19 +9,19 @@
 #include <stdexcept>
 
 #include "base/log.h"
-#include "broker/members.h"
-#include "fleet/fleet.h"
-#include "fleet/operators.h"
-#include "fronts/opensearch/front.h"
-#include "fronts/two_phase/front.h"
+#include "cluster/admin_api.h"
+#include "cluster/cluster_node.h"
+#include "dispatch/endpoint_registry.h"
+#include "frontend/opensearch/opensearch_frontend.h"
+#include "frontend/two_phase/two_phase_frontend.h"
 #include "options/options.h"
 #include "server/broker.h"
 
 namespace cairnhub::cli {
 
-using broker::Broker;
-using broker::Config;
-using broker::read_config;
+using dispatch::Config;
+using dispatch::read_config;
+using server::Broker;
 
 namespace {
 
@@ -45,9 +45,9 @@
 };
 
 // What the search front tells of nodes, from the list.
-class Around : public fronts::opensearch::Surroundings {
+class Around : public frontend::opensearch::Surroundings {
  public:
-  Around(const broker::Members& members, const settings::Settings& s)
+  Around(const dispatch::Members& members, const settings::Settings& s)
       : members_(members), cells_(s.whole("family-info.positions")), width_(s.whole("family-info.width")) {}
   std::string node_name(EndpointId id) const override { return members_.name_of(id); }
   std::vector<std::string> holders(int block) const override {
@@ -59,7 +59,7 @@
   int nodes() const override { return members_.ready(); }
 
  private:
-  const broker::Members& members_;
+  const dispatch::Members& members_;
   int cells_, width_;
 };
 
@@ -76,10 +76,10 @@
   try {
     if (path.empty()) throw std::runtime_error("RELAY_CONFIG is not set");
     const Config config = read_config(path);
-    broker::Extras extras;
-    std::unique_ptr<fleet::Fleet> fleet;
-    std::unique_ptr<fleet::Operators> operators;
-    std::vector<fronts::opensearch::Index> indices;
+    server::Extras extras;
+    std::unique_ptr<cluster::Fleet> fleet;
+    std::unique_ptr<cluster::Operators> operators;
+    std::vector<frontend::opensearch::Index> indices;
     opensearch::Limits limits;
     if (!options.empty()) {
       const auto stated = options::read(options);
@@ -89,8 +89,8 @@
         indices.push_back({x.index.name, x.index.first, x.index.blocks, x.op_type, x.index.timeout});
       options::check_fleet(stated, config.settings);
       if (stated.fleet) {
-        fleet = std::make_unique<fleet::Fleet>(base, *stated.fleet, config.settings, config.seed);
-        if (!stated.fleet->operators.empty()) operators = std::make_unique<fleet::Operators>(base, *fleet);
+        fleet = std::make_unique<cluster::Fleet>(base, *stated.fleet, config.settings, config.seed);
+        if (!stated.fleet->operators.empty()) operators = std::make_unique<cluster::Operators>(base, *fleet);
         extras.common = fleet.get();
       }
       if (stated.search) {
@@ -117,10 +117,10 @@
       }
     }
     Broker broker(base, config, extras);
-    fronts::two_phase::Front two_phase_front(broker.admit(), broker.phased());
+    frontend::two_phase::Front two_phase_front(broker.admit(), broker.phased());
     if (!extras.two_phase.empty()) broker.add(two_phase_front);
     const Around around(broker.members(), config.settings);
-    fronts::opensearch::Front search_front(indices, limits, broker.book(), broker.route(), around);
+    frontend::opensearch::Front search_front(indices, limits, broker.book(), broker.route(), around);
     if (!indices.empty()) broker.add(search_front);
     const auto leave = [&] {
       log("stop", "finishing what is in hand");
--- a/src/fleet/operators.cpp
+++ b/src/cluster/admin_api.cpp
@@ -1,4 +1,4 @@
-#include "fleet/operators.h"
+#include "cluster/admin_api.h"
 
 #include <event2/buffer.h>
 #include <event2/http.h>
@@ -10,9 +10,9 @@
 
 #include "base/clock.h"
 #include "base/log.h"
-#include "upkeep/plan.h"
+#include "maintenance/job_scheduler.h"
 
-namespace cairnhub::fleet {
+namespace cairnhub::cluster {
 
 namespace {
 
@@ -21,7 +21,7 @@
 std::string text(const json& j) { return j.dump(-1, ' ', false, json::error_handler_t::replace) + "\n"; }
 double ms(Time t) { return static_cast<double>(t / 1000) / 1000; }
 
-json of(const accord::Version& v) {
+json of(const shared_config::Version& v) {
   return {{"number", v.number}, {"hash", v.hash}, {"who", v.who},
           {"why", v.why},       {"id", v.id},     {"rules", v.text}};
 }
@@ -128,8 +128,8 @@
        {"ground", s.ground},
        {"ground_next", s.ground_next},
        {"lease_left_ms", ms(s.lease_left)},
-       {"rules", accord::text_of(*s.acting.rules)},
-       {"hash", accord::hash_of(accord::text_of(*s.acting.rules))},
+       {"rules", shared_config::text_of(*s.acting.rules)},
+       {"hash", shared_config::hash_of(shared_config::text_of(*s.acting.rules))},
        {"leader", s.leader},
        {"leads", s.leads},
        {"term", s.term},
@@ -156,22 +156,22 @@
 std::string Operators::zones() const {
   const auto& z = *fleet_.zone_part();
   // Without an accord it decides for itself, from a book of its own.
-  const accord::Versions* own = fleet_.alone();
-  const auto s = own ? accord::Status{} : fleet_.accord()->status(now());
+  const shared_config::Versions* own = fleet_.alone();
+  const auto s = own ? shared_config::Status{} : fleet_.accord()->status(now());
   const auto& held = own ? own->all() : fleet_.accord()->holder().versions();
   const auto at = held.find(own ? own->newest() : s.acting.high);
-  const accord::Rules& rules = own ? *at->second.rules : *s.acting.rules;
+  const shared_config::Rules& rules = own ? *at->second.rules : *s.acting.rules;
   json acts = json::object(), states = json::object(), shares = json::array(), seen = json::array(),
        orders = json::object();
   const auto& limits = fleet_.zones();
   for (std::size_t i = 0; i < limits.size(); ++i)
     acts[z.name_of(static_cast<int>(i))] = static_cast<int>(1000 * limits[i].max_share + 0.5);
   if (at != held.end())
-    for (const auto& note = zones::parse_note(at->second.note);
+    for (const auto& note = zone_failover::parse_note(at->second.note);
          const auto* all : {&note.zones, &note.regions})
       for (const auto& [name, one] : *all)
-        states[all == &note.zones ? name : zones::region_key(name)] = {{"state", zones::name_of(one.state)},
-                                                                       {"share", one.share}};
+        states[all == &note.zones ? name : zone_failover::region_key(name)] = {
+            {"state", zone_failover::name_of(one.state)}, {"share", one.share}};
   for (const auto& [pair, most] : rules.zones.most)
     shares.push_back({{"from", pair.first}, {"to", pair.second}, {"most", most}});
   json out{{"name", fleet_.options().name},
@@ -187,10 +187,10 @@
   if (!s.leads && !own) return text(out);
   for (const auto& e : z.explain())
     seen.push_back({{"zone", e.zone},
-                    {"state", zones::name_of(e.state)},
+                    {"state", zone_failover::name_of(e.state)},
                     {"share", e.share},
                     {"ordered", e.ordered},
-                    {"looks", zones::name_of(e.view.look)},
+                    {"looks", zone_failover::name_of(e.view.look)},
                     {"why", e.view.why},
                     {"wanted", e.view.wanted},
                     {"load", e.view.load},
@@ -223,7 +223,7 @@
                      {"bytes_over_budget", t.over}});
   for (std::size_t i = 0; i < names.size(); ++i) {
     const auto b = c.budget(now(), static_cast<int>(i));
-    if (b.a_second == zones::kNoBudget) continue;
+    if (b.a_second == zone_failover::kNoBudget) continue;
     budgets.push_back({{"op_type", names[i]},
                        {"bytes_a_second", b.a_second},
                        {"left", static_cast<long long>(b.left)},
@@ -246,12 +246,12 @@
   for (const auto& [n, w] : book->all()) {
     const auto it = waits.find(n);
     std::string why = it == waits.end() ? "" : it->second;
-    if (w.step == upkeep::Step::queued && why.empty()) why = book->forbids(w.request, n);
+    if (w.step == maintenance::Step::queued && why.empty()) why = book->forbids(w.request, n);
     works.push_back({{"number", n},
                      {"machine", w.request.machine},
-                     {"step", upkeep::name_of(w.step)},
+                     {"step", maintenance::name_of(w.step)},
                      {"held", w.held},
-                     {"since_ms", w.since / upkeep::kMs},
+                     {"since_ms", w.since / maintenance::kMs},
                      {"last", w.last},
                      {"waits", why},
                      {"who", w.who},
@@ -264,12 +264,12 @@
                      {"endangers", w.open() ? json(book->endangers(w.request)) : json::array()}});
   }
   // As every voter makes it from the same entries: as of the facts said last.
-  for (const auto& p : upkeep::plan(*book, book->facts_at())) {
+  for (const auto& p : maintenance::plan(*book, book->facts_at())) {
     const auto& w = book->all().at(p.work);
     plan.push_back({{"work", p.work},
                     {"machine", w.request.machine},
-                    {"start_ms", p.start == kNever ? 0 : p.start / upkeep::kMs},
-                    {"length_ms", (w.request.length + book->facts().terms.around) / upkeep::kMs},
+                    {"start_ms", p.start == kNever ? 0 : p.start / maintenance::kMs},
+                    {"length_ms", (w.request.length + book->facts().terms.around) / maintenance::kMs},
                     {"in_time", p.in_time}});
   }
   const std::set<std::string> out_nodes = book->out_nodes();
@@ -291,7 +291,7 @@
 
 // What an operator says of works, as the log's entry has it; none where it is not well formed.
 std::optional<std::string> Operators::work_op(const nlohmann::json& j) {
-  upkeep::Op op;
+  maintenance::Op op;
   timespec t{};
   clock_gettime(CLOCK_REALTIME, &t);
   op.at = static_cast<Time>(t.tv_sec) * kSecond + t.tv_nsec;
@@ -303,7 +303,7 @@
   op.hold = number("hold"), op.resume = number("resume"), op.cancel = number("cancel"),
   op.done = number("done");
   if (const auto r = j.find("request"); r != j.end() && r->is_object()) {
-    upkeep::Request request;
+    maintenance::Request request;
     const auto word = [&](const char* name, std::string& into) {
       if (const auto it = r->find(name); it != r->end() && it->is_string()) into = it->get<std::string>();
     };
@@ -314,7 +314,7 @@
     };
     const auto ms_of = [&](const char* name, Time& into) {
       if (const auto it = r->find(name); it != r->end() && it->is_number())
-        into = static_cast<Time>(std::clamp(it->get<double>(), 0.0, 4e12)) * upkeep::kMs;
+        into = static_cast<Time>(std::clamp(it->get<double>(), 0.0, 4e12)) * maintenance::kMs;
     };
     word("machine", request.machine), word("rack", request.rack), word("zone", request.zone);
     word("region", request.region), words("nodes", request.nodes), words("brokers", request.brokers);
@@ -329,7 +329,7 @@
   const int said = op.request.has_value() + op.hold.has_value() + op.resume.has_value() +
                    op.cancel.has_value() + op.done.has_value();
   if (said != 1) return std::nullopt;
-  return upkeep::encode(op);
+  return maintenance::encode(op);
 }
 
 // A proposal whose answer is awaited; its asker may leave before.
@@ -349,22 +349,22 @@
     return it != j.end() && it->is_string() ? it->get<std::string>() : std::string();
   };
   if (!j.is_object()) return reply(r, 400, text({{"error", "the body is not a JSON object"}}));
-  accord::Entry e;
+  shared_config::Entry e;
   const std::string kind = field("kind");
   if (kind == "version")
-    e.kind = accord::Entry::Kind::propose;
+    e.kind = shared_config::Entry::Kind::propose;
   else if (kind == "ground")
-    e.kind = accord::Entry::Kind::propose_ground;
+    e.kind = shared_config::Entry::Kind::propose_ground;
   else if (kind == "strike")
-    e.kind = accord::Entry::Kind::strike;
+    e.kind = shared_config::Entry::Kind::strike;
   else if (kind == "order")
-    e.kind = accord::Entry::Kind::order;
+    e.kind = shared_config::Entry::Kind::order;
   else if (kind == "work")
-    e.kind = accord::Entry::Kind::board;
+    e.kind = shared_config::Entry::Kind::board;
   else
     return reply(r, 400, text({{"error", "kind is neither version, ground, strike, order nor work"}}));
   e.text = field("rules");
-  if (e.kind == accord::Entry::Kind::board) {
+  if (e.kind == shared_config::Entry::Kind::board) {
     const auto op = work_op(j);
     if (!op)
       return reply(
@@ -383,7 +383,7 @@
   // The library frees it once it is answered; should its connection go before, it is left to this.
   evhttp_request_own(r);
   auto waiting = std::make_shared<Waiting>(Waiting{r, here_, this});
-  fleet_.propose(std::move(e), [waiting](const std::optional<accord::Verdict>& v) {
+  fleet_.propose(std::move(e), [waiting](const std::optional<shared_config::Verdict>& v) {
     if (!*waiting->here) return evhttp_request_free(waiting->request);
     --waiting->home->waiting_;
     evhttp_request* request = waiting->request;
@@ -397,4 +397,4 @@
   });
 }
 
-}  // namespace cairnhub::fleet
+}  // namespace cairnhub::cluster
--- a/src/fleet/operators.h
+++ b/src/cluster/admin_api.h
@@ -12,12 +12,12 @@
 #include <set>
 #include <string>
 
-#include "fleet/fleet.h"
+#include "cluster/cluster_node.h"
 
 struct evhttp;
 struct evhttp_request;
 
-namespace cairnhub::fleet {
+namespace cairnhub::cluster {
 
 class Operators {
  public:
@@ -47,4 +47,4 @@
   std::size_t waiting_ = 0;
 };
 
-}  // namespace cairnhub::fleet
+}  // namespace cairnhub::cluster
--- a/src/fleet/fleet.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -1,4 +1,4 @@
-#include "fleet/fleet.h"
+#include "cluster/cluster_node.h"
 
 #include <sodium.h>
 
@@ -6,14 +6,14 @@
 #include <fstream>
 #include <iterator>
 
-#include "accord.pb.h"
 #include "base/clock.h"
 #include "base/log.h"
-#include "broker/query.h"
+#include "dispatch/query.h"
 #include "membership/message_codec.h"
-#include "zones/report.h"
+#include "shared_config.pb.h"
+#include "zone_failover/zone_report.h"
 
-namespace cairnhub::fleet {
+namespace cairnhub::cluster {
 
 namespace {
 
@@ -38,8 +38,8 @@
   return result;
 }
 
-accord::Terms accord_terms(const options::Accord& o) {
-  accord::Terms t;
+shared_config::Terms accord_terms(const options::Accord& o) {
+  shared_config::Terms t;
   t.lease.stated = o.stated, t.lease.drift = o.drift;
   t.voters = o.voters;
   t.life = randombytes_random();
@@ -57,8 +57,8 @@
 // Parts in the window of an account that tell something.
 constexpr double kFewParts = 5;
 
-zones::Terms zone_terms(const options::Zones& o) {
-  zones::Terms t;
+zone_failover::Terms zone_terms(const options::Zones& o) {
+  zone_failover::Terms t;
   t.home = o.home;
   for (const auto& z : o.zones) t.zones.push_back({z.name, z.region, z.host_parts_a_second});
   t.course.confirm = o.confirm, t.course.dwell = o.dwell, t.course.dwell_most = 16 * o.dwell,
@@ -80,11 +80,11 @@
   return s == EndpointState::kReady ? "ready" : s == EndpointState::kDraining ? "draining" : "gone";
 }
 
-accord::Rules ground_of(const options::Accord& o) {
+shared_config::Rules ground_of(const options::Accord& o) {
   if (o.ground_file.empty()) return {};
   std::ifstream in(o.ground_file, std::ios::binary);
   if (!in) throw std::runtime_error(o.ground_file + ": can't be read");
-  return accord::parse_rules({std::istreambuf_iterator<char>(in), {}}, o.ground_file);
+  return shared_config::parse_rules({std::istreambuf_iterator<char>(in), {}}, o.ground_file);
 }
 
 }  // namespace
@@ -100,29 +100,30 @@
   if (!o.records.empty()) event_log_ = std::make_unique<EventLog>(o.records, o.name);
   for (const auto& p : o.peers) peers_.add_configured_member(p.name, p.address);
   if (o.accord) {
-    accord::Rules ground = ground_of(*o.accord);
+    shared_config::Rules ground = ground_of(*o.accord);
     if (!o.accord->folder.empty()) {
       std::string aside;
       std::uint64_t id;
       randombytes_buf(&id, sizeof id);
-      store_ = accord::Kept::open(o.accord->folder, id >> 1 | 1, &aside);
+      store_ = shared_config::Kept::open(o.accord->folder, id >> 1 | 1, &aside);
       if (!aside.empty()) {
         log("accord", "the store was damaged and is set aside as %s; this broker joins anew", aside.c_str());
         if (event_log_) event_log_->record_event("set_aside").with("as", aside);
       }
     }
-    accord_ =
-        std::make_unique<accord::Accord>(accord_terms(*o.accord), o.name, store_.get(), std::move(ground),
-                                         seed + 1, std::make_shared<upkeep::Works>());
+    accord_ = std::make_unique<shared_config::Accord>(accord_terms(*o.accord), o.name, store_.get(),
+                                                      std::move(ground), seed + 1,
+                                                      std::make_shared<maintenance::Works>());
     std::string text;
     std::uint64_t number = 0;
     if (store_ && store_->ground(text, number)) {
-      accord::Version kept;
-      kept.number = kept_ground_ = number, kept.text = text, kept.hash = accord::hash_of(text);
-      kept.rules = std::make_shared<const accord::Rules>(accord::parse_rules(text, "kept ground"));
+      shared_config::Version kept;
+      kept.number = kept_ground_ = number, kept.text = text, kept.hash = shared_config::hash_of(text);
+      kept.rules =
+          std::make_shared<const shared_config::Rules>(shared_config::parse_rules(text, "kept ground"));
       accord_->keep_ground(kept);
     }
-    accord_->applied = [this](const accord::Entry& e, const accord::Verdict& v) {
+    accord_->applied = [this](const shared_config::Entry& e, const shared_config::Verdict& v) {
       if (!event_log_) return;
       event_log_->record_event("applied")
           .with("kind", static_cast<std::uint64_t>(e.kind))
@@ -130,12 +131,12 @@
           .with("id", e.id)
           .with("index", accord_ && accord_->engine() ? accord_->engine()->applied_index() : 0)
           .with("refused", v.refused);
-      if (works_ && e.kind == accord::Entry::Kind::board) works_->applied();
+      if (works_ && e.kind == shared_config::Entry::Kind::board) works_->applied();
     };
     applied_ = accord_->acting(now());
   } else {
-    auto none = std::make_shared<accord::Acting>();
-    none->rules = std::make_shared<const accord::Rules>();
+    auto none = std::make_shared<shared_config::Acting>();
+    none->rules = std::make_shared<const shared_config::Rules>();
     applied_ = std::move(none);
   }
   limits_.resize(op_types_.size());
@@ -150,15 +151,15 @@
 }
 
 void Fleet::begin_zones(const options::Zones& o, const settings::Settings& settings) {
-  zones_ = std::make_unique<zones::Zones>(zone_terms(o), options_.name);
+  zones_ = std::make_unique<zone_failover::Zones>(zone_terms(o), options_.name);
   const auto ops = settings::op_types(settings);
   for (const auto& named : ops) needs_.push_back(named.op.required_share);
   for (std::size_t i = 0; i < ops.size(); ++i)
     stays_in_region_[i] = std::count(o.stay_in_region.begin(), o.stay_in_region.end(), ops[i].name) > 0 ||
                           ops[i].op.latency_objective < kRoundTripsInBudget * o.region_round_trip;
-  if (!accord_) alone_ = std::make_unique<accord::Versions>();
-  crossing_ = std::make_unique<zones::Crossing>(o.crossing_saved, ops.size());
-  crossing_stated_.assign(ops.size(), zones::kNoBudget);
+  if (!accord_) alone_ = std::make_unique<shared_config::Versions>();
+  crossing_ = std::make_unique<zone_failover::Crossing>(o.crossing_saved, ops.size());
+  crossing_stated_.assign(ops.size(), zone_failover::kNoBudget);
   for (const auto& [name, most] : o.crossing)
     for (std::size_t i = 0; i < ops.size(); ++i)
       if (ops[i].name == name) crossing_stated_[i] = static_cast<double>(most);
@@ -220,7 +221,7 @@
   } else if (kind == kWorks && works_) {
     works_->heard(now(), program_, from, body);
   } else if (kind == kZones && zones_) {
-    if (auto r = zones::decode(body)) zones_->heard(now(), from, std::move(*r));
+    if (auto r = zone_failover::decode(body)) zones_->heard(now(), from, std::move(*r));
   }
   pump();
 }
@@ -239,7 +240,7 @@
   hearsay_.heard_of(l.newest());
   for (const auto& n : l.notice()) {
     if (n.node().empty() || n.node().size() > 128) continue;
-    const accord::Notice notice{n.node(), n.started(), n.gone(), n.revision()};
+    const shared_config::Notice notice{n.node(), n.started(), n.gone(), n.revision()};
     if (!hearsay_.heard(notice)) continue;
     ++hearsay_now_;
     if (!event_log_) continue;
@@ -263,7 +264,7 @@
 }
 
 // `to` empty: a few, at random.
-void Fleet::tell_lists(const std::vector<accord::Notice>& notices, const std::string& to) {
+void Fleet::tell_lists(const std::vector<shared_config::Notice>& notices, const std::string& to) {
   for (std::size_t at = 0; at < notices.size(); at += kNoticesAMessage) {
     accord::wire::Lists l;
     l.set_newest(hearsay_.newest());
@@ -351,7 +352,7 @@
   if (ground.number == kept_ground_ && next == kept_next_) return;
   const bool newer = ground.number > kept_ground_ && !next;
   kept_ground_ = std::max(kept_ground_, ground.number), kept_next_ = next;
-  if (store_) store_->keep_ground(accord::text_of(holder.grounded()), ground.number);
+  if (store_) store_->keep_ground(shared_config::text_of(holder.grounded()), ground.number);
   if (newer && event_log_) event_log_->record_event("keeps").with("ground", ground.number);
 }
 
@@ -373,7 +374,7 @@
       .with("until", static_cast<std::uint64_t>(until - clock_offset()));
 }
 
-std::optional<zones::Report> Fleet::look_at_zones(Time at) {
+std::optional<zone_failover::Report> Fleet::look_at_zones(Time at) {
   if (at < zones_->wake()) return std::nullopt;
   count_hosts();
   return zones_->report(at);
@@ -388,12 +389,12 @@
   log("zones", "%s", e->why.c_str());
   if (event_log_)
     event_log_->record_event("zones").with("why", e->why).with("note", e->note).with("id", e->id);
-  const bool ground = e->kind == accord::Entry::Kind::propose_ground;
+  const bool ground = e->kind == shared_config::Entry::Kind::propose_ground;
   e->number = alone_->apply(*e).number;
-  e->kind = ground ? accord::Entry::Kind::force_ground : accord::Entry::Kind::force;
+  e->kind = ground ? shared_config::Entry::Kind::force_ground : shared_config::Entry::Kind::force;
   alone_->apply(*e);
-  const accord::Version& newest = alone_->all().rbegin()->second;
-  auto acting = std::make_shared<accord::Acting>();
+  const shared_config::Version& newest = alone_->all().rbegin()->second;
+  auto acting = std::make_shared<shared_config::Acting>();
   acting->rules = newest.rules, acting->low = acting->high = newest.number;
   applied_ = std::move(acting);
   take_zones();
@@ -408,7 +409,7 @@
   if (const auto& leader = accord_->leader(); !leader.empty())
     to.insert(leader);  // it may have come to vote later
   to.erase(options_.name);
-  const std::string bytes = kZones + zones::encode(*report);
+  const std::string bytes = kZones + zone_failover::encode(*report);
   for (const auto& name : to) send_to(name, bytes);
   const auto* engine = accord_->engine();
   if (!engine || !engine->leads()) return zones_->leads_no_more();
@@ -422,7 +423,7 @@
 
 // What is acted on of zones: the rules, and the note of the newest version that a lease is held on.
 void Fleet::take_zones() {
-  const accord::Version* newest = nullptr;
+  const shared_config::Version* newest = nullptr;
   if (alone_) {
     newest = &alone_->all().rbegin()->second;
   } else if (applied_->high) {
@@ -478,13 +479,13 @@
   return crossing_ && crossing_->sent(now(), counted_zone(zone), op_type);
 }
 
-void Fleet::ended(const broker::Account& whose, EndpointId node, AttemptOutcome how, Time latency) {
+void Fleet::ended(const dispatch::Account& whose, EndpointId node, AttemptOutcome how, Time latency) {
   if (!zones_) return;
   zones_->ended(now(), zones_->name_of(whose.zone), node, how, latency);
   crossing_->ended(counted_zone(whose.zone), whose.op_type, whose.over_budget);
 }
 
-void Fleet::carried(const broker::Carried& what) {
+void Fleet::carried(const dispatch::Carried& what) {
   if (crossing_)
     crossing_->carried(now(), counted_zone(what.whose.zone), what.whose.op_type, what.whose.over_budget,
                        what.out, what.in);
@@ -496,13 +497,13 @@
 void Fleet::limit_crossing() {
   for (std::size_t i = 0; i < op_types_.size(); ++i) {
     const std::int64_t most = applied_->rules->of(op_types_[i]).crossing_most;
-    crossing_->limit(
-        now(), static_cast<int>(i),
-        std::min(crossing_stated_[i], most == INT64_MAX ? zones::kNoBudget : static_cast<double>(most)));
+    crossing_->limit(now(), static_cast<int>(i),
+                     std::min(crossing_stated_[i],
+                              most == INT64_MAX ? zone_failover::kNoBudget : static_cast<double>(most)));
   }
 }
 
-void Fleet::asked(int op_type, const broker::Query& query) {
+void Fleet::asked(int op_type, const dispatch::Query& query) {
   if (!zones_) return;
   std::size_t far = 0;
   for (const auto& p : query.parts)
@@ -545,11 +546,11 @@
         .with("low", applied_->low)
         .with("high", applied_->high)
         .with("ground", applied_->ground)
-        .with("hash", accord::hash_of(accord::text_of(*applied_->rules)));
+        .with("hash", shared_config::hash_of(shared_config::text_of(*applied_->rules)));
   return true;
 }
 
-const broker::OpLimits& Fleet::limits(int op_type) const {
+const dispatch::OpLimits& Fleet::limits(int op_type) const {
   return limits_.at(static_cast<std::size_t>(op_type));
 }
 bool Fleet::two_phase(int op_type) const {
@@ -600,10 +601,10 @@
   listed_.clear();
 }
 
-void Fleet::propose(accord::Entry entry, accord::Accord::Done done) {
+void Fleet::propose(shared_config::Entry entry, shared_config::Accord::Done done) {
   if (!accord_) return done(std::nullopt);
   accord_->propose(now(), std::move(entry), std::move(done));
   pump();
 }
 
-}  // namespace cairnhub::fleet
+}  // namespace cairnhub::cluster
--- a/src/fleet/fleet.h
+++ b/src/cluster/cluster_node.h
@@ -10,23 +10,23 @@
 #include <string>
 #include <vector>
 
-#include "accord/accord.h"
-#include "accord/hearsay.h"
-#include "accord/kept.h"
 #include "base/timer.h"
-#include "broker/common.h"
+#include "cluster/maintenance_agent.h"
+#include "dispatch/common.h"
 #include "event_log/event_log.h"
-#include "fleet/works.h"
 #include "membership/swim_membership.h"
 #include "options/options.h"
 #include "settings/settings.h"
+#include "shared_config/endpoint_gossip.h"
+#include "shared_config/shared_config_node.h"
+#include "shared_config/sqlite_store.h"
 #include "transport/transport.h"
-#include "zones/crossing.h"
-#include "zones/zones.h"
+#include "zone_failover/cross_zone_budget.h"
+#include "zone_failover/zone_failover.h"
 
-namespace cairnhub::fleet {
+namespace cairnhub::cluster {
 
-class Fleet : public broker::Common {
+class Fleet : public dispatch::Common {
  public:
   // Throws std::runtime_error with one line where an address, a key or the folder can't be had.
   Fleet(event_base* base, const options::Fleet& options, const settings::Settings& settings,
@@ -43,7 +43,7 @@
 
   // Common.
   bool changed() override;
-  const broker::OpLimits& limits(int op_type) const override;
+  const dispatch::OpLimits& limits(int op_type) const override;
   int sends_most() const override { return applied_->rules->sends_most; }
   bool second_copies() const override { return applied_->rules->second_copies; }
   bool two_phase(int op_type) const override;
@@ -61,38 +61,38 @@
   int zone_of(const std::string& locality) const override { return zones_ ? zones_->number_of(locality) : 0; }
   bool stays_in_region(int op_type) const override;
   bool sent(int zone, int op_type) override;
-  void ended(const broker::Account& whose, EndpointId node, AttemptOutcome how, Time latency) override;
-  void carried(const broker::Carried& what) override;
-  void asked(int op_type, const broker::Query& query) override;
+  void ended(const dispatch::Account& whose, EndpointId node, AttemptOutcome how, Time latency) override;
+  void carried(const dispatch::Carried& what) override;
+  void asked(int op_type, const dispatch::Query& query) override;
   bool budgets() const override { return crossing_ && crossing_->any(); }
   bool stays_near(int op_type) override;
 
   // For the operators' address.
   const options::Fleet& options() const { return options_; }
   const membership::SwimMembership& peers() const { return peers_; }
-  const accord::Hearsay& hearsay() const { return hearsay_; }
+  const shared_config::Hearsay& hearsay() const { return hearsay_; }
   const transport::Transport& transport() const { return transport_; }
-  accord::Accord* accord() { return accord_.get(); }
+  shared_config::Accord* accord() { return accord_.get(); }
   const Works* works() const { return works_.get(); }
-  const zones::Zones* zone_part() const { return zones_.get(); }
-  const accord::Versions* alone() const { return alone_.get(); }  // where it decides of zones alone
-  const zones::Crossing* crossing() const { return crossing_.get(); }
+  const zone_failover::Zones* zone_part() const { return zones_.get(); }
+  const shared_config::Versions* alone() const { return alone_.get(); }  // where it decides of zones alone
+  const zone_failover::Crossing* crossing() const { return crossing_.get(); }
   const std::vector<std::string>& op_types() const { return op_types_; }
-  void propose(accord::Entry entry, accord::Accord::Done done);
+  void propose(shared_config::Entry entry, shared_config::Accord::Done done);
 
  private:
   void heard(const std::string& from, std::string_view body);
   void heard_lists(const std::string& from, const std::string& cargo);
   void pump(bool may_turn = true);
   void woken();
-  void tell_lists(const std::vector<accord::Notice>& notices, const std::string& to);
+  void tell_lists(const std::vector<shared_config::Notice>& notices, const std::string& to);
   std::string lists_digest() const;
   void send_to(const std::string& to, const std::string& bytes);
   void begin_zones(const options::Zones& options, const settings::Settings& settings);
   void keep_ground();
   void note_lease();
   void look_behind();
-  std::optional<zones::Report> look_at_zones(Time at);
+  std::optional<zone_failover::Report> look_at_zones(Time at);
   void turn_zones();
   void turn_alone();
   void take_zones();
@@ -104,18 +104,18 @@
   std::vector<std::string> op_types_;
   std::unique_ptr<EventLog> event_log_;
   membership::SwimMembership peers_;
-  accord::Hearsay hearsay_;
-  std::unique_ptr<accord::Kept> store_;
-  std::unique_ptr<accord::Accord> accord_;
+  shared_config::Hearsay hearsay_;
+  std::unique_ptr<shared_config::Kept> store_;
+  std::unique_ptr<shared_config::Accord> accord_;
   transport::Transport transport_;
   Timer wake_;
   Program program_;
-  std::shared_ptr<const accord::Acting> applied_;
-  std::vector<broker::OpLimits> limits_;
-  std::unique_ptr<zones::Zones> zones_;
+  std::shared_ptr<const shared_config::Acting> applied_;
+  std::vector<dispatch::OpLimits> limits_;
+  std::unique_ptr<zone_failover::Zones> zones_;
   std::unique_ptr<Works> works_;
-  std::unique_ptr<accord::Versions> alone_;  // of zones, where there is no accord: a book of its own
-  std::unique_ptr<zones::Crossing> crossing_;
+  std::unique_ptr<shared_config::Versions> alone_;  // of zones, where there is no accord: a book of its own
+  std::unique_ptr<zone_failover::Crossing> crossing_;
   std::vector<double> crossing_stated_;  // bytes a second, by op type
   std::vector<ZoneLimit> zone_limits_;
   std::vector<bool> stays_in_region_;  // by op type
@@ -134,4 +134,4 @@
   bool in_list_ = false, pumping_ = false, left_ = false, shares_new_ = false;
 };
 
-}  // namespace cairnhub::fleet
+}  // namespace cairnhub::cluster
--- a/src/fleet/works.cpp
+++ b/src/cluster/maintenance_agent.cpp
@@ -1,4 +1,4 @@
-#include "fleet/works.h"
+#include "cluster/maintenance_agent.h"
 
 #include <time.h>
 
@@ -6,14 +6,14 @@
 
 #include "base/clock.h"
 #include "base/log.h"
-#include "upkeep/codec.h"
+#include "maintenance/job_codec.h"
 
-namespace cairnhub::fleet {
+namespace cairnhub::cluster {
 
 namespace {
 
-upkeep::ConductTerms conduct_terms(const options::Fleet& o, const settings::Settings& settings) {
-  upkeep::ConductTerms t;
+maintenance::ConductTerms conduct_terms(const options::Fleet& o, const settings::Settings& settings) {
+  maintenance::ConductTerms t;
   t.every = o.upkeep->look, t.drift = o.accord->drift;
   t.warm_after = settings.span("rules.cold", 0);
   for (const auto& op : settings::op_types(settings))
@@ -31,8 +31,8 @@
 }  // namespace
 
 Works::Works(event_base* base, const options::Fleet& options, const settings::Settings& settings,
-             accord::Accord& accord, const membership::SwimMembership& peers, const zones::Zones* zones,
-             EventLog* event_log, Send send)
+             shared_config::Accord& accord, const membership::SwimMembership& peers,
+             const zone_failover::Zones* zones, EventLog* event_log, Send send)
     : options_(options),
       accord_(accord),
       peers_(peers),
@@ -47,20 +47,20 @@
         if (stop_) stop_();
       }) {}
 
-const upkeep::Works* Works::book() const {
+const maintenance::Works* Works::book() const {
   const auto* engine = accord_.engine();
-  return engine ? dynamic_cast<const upkeep::Works*>(engine->versions().board().get()) : nullptr;
+  return engine ? dynamic_cast<const maintenance::Works*>(engine->versions().board().get()) : nullptr;
 }
 
-upkeep::Facts Works::see(Time now, const std::map<std::string, Listed>& listed,
-                         std::uint64_t revision) const {
+maintenance::Facts Works::see(Time now, const std::map<std::string, Listed>& listed,
+                              std::uint64_t revision) const {
   const auto& o = *options_.upkeep;
-  upkeep::Facts f;
+  maintenance::Facts f;
   f.revision = revision, f.cells = cells_, f.width = width_;
   f.terms = {o.holders_least, o.at_once,  o.a_rack,     o.a_zone, o.a_region,
              o.zone_keep,     o.headroom, o.lost_after, o.around, o.stop_on_loss};
   for (const auto& [name, n] : listed) {
-    if (f.nodes.size() >= upkeep::Works::kNodes || n.cell >= cells_) continue;
+    if (f.nodes.size() >= maintenance::Works::kNodes || n.cell >= cells_) continue;
     f.nodes[name] = {n.cell, n.zone, n.ready, n.started == 0 || now - n.started >= warm_after_};
     if (!n.zone.empty()) f.zones.try_emplace(n.zone);
   }
@@ -69,7 +69,7 @@
     for (const auto& e : zones_->explain()) {
       const auto it = f.zones.find(e.zone);
       if (it == f.zones.end()) continue;
-      it->second.near = e.state == zones::State::near;
+      it->second.near = e.state == zone_failover::State::near;
       it->second.load = e.view.load, it->second.capacity = e.view.capacity;
     }
   }
@@ -77,13 +77,13 @@
   return f;
 }
 
-void Works::turn(Time now, const Program& program, const accord::Acting& acted,
+void Works::turn(Time now, const Program& program, const shared_config::Acting& acted,
                  const std::map<std::string, Listed>& listed, std::uint64_t revision) {
   if (now < conduct_.wake()) return;
   conduct_.looked(now);
   // What is acted on under a lease that has lapsed meanwhile tells nothing: the next look will.
   if (!acted.rules->at_work.empty() && program.clear && acted.low == accord_.acting(now)->low) {
-    upkeep::Message m;
+    maintenance::Message m;
     m.clear.emplace();
     m.clear->low = acted.low;
     for (const auto& node : acted.rules->at_work) m.clear->out[node] = program.clear(node);
@@ -98,14 +98,14 @@
   accord_.retire(conduct_.retiring(*works));
   if (!engine->leads()) return conduct_.leads_no_more();
   if (revision == 0) return;  // it has no list yet, and sees nothing
-  upkeep::Seen seen;
+  maintenance::Seen seen;
   seen.facts = see(now, listed, revision);
   seen.held = accord_.leases().held();
   seen.voters = engine->voting();
   for (const auto* member : peers_.members().live()) seen.alive.insert(member->update.name);
   auto e = conduct_.lead(now, wall_now(), engine->versions(), seen);
   for (const auto& broker : conduct_.stand_down()) {
-    upkeep::Message m;
+    maintenance::Message m;
     for (const auto& [n, w] : works->all())
       if (w.takes_out() && std::count(w.request.brokers.begin(), w.request.brokers.end(), broker))
         m.stand_down = n;
@@ -113,14 +113,14 @@
   }
   if (!e) return;
   log("upkeep", "%s", e->why.c_str());
-  accord_.propose(now, std::move(*e), [this](const std::optional<accord::Verdict>& v) {
+  accord_.propose(now, std::move(*e), [this](const std::optional<shared_config::Verdict>& v) {
     if (v && !v->number) log("upkeep", "refused: %s", v->refused.c_str());
     conduct_.settled(v && v->number);
   });
 }
 
 void Works::heard(Time now, const Program& program, const std::string& from, std::string_view bytes) {
-  auto m = upkeep::decode(bytes);
+  auto m = maintenance::decode(bytes);
   if (!m) return;
   if (m->clear) conduct_.heard(now, from, std::move(*m->clear));
   if (m->stand_down) stand_down(program, m->stand_down);
@@ -149,7 +149,7 @@
     event_log_->record_event("work")
         .with("work", n)
         .with("machine", w.request.machine)
-        .with("step", upkeep::name_of(w.step))
+        .with("step", maintenance::name_of(w.step))
         .with("nodes", nodes)
         .with("index", accord_.engine()->applied_index())
         .with("why", w.last);
@@ -157,4 +157,4 @@
   std::erase_if(recorded_, [&](const auto& r) { return !works->all().count(r.first); });
 }
 
-}  // namespace cairnhub::fleet
+}  // namespace cairnhub::cluster
--- a/src/fleet/works.h
+++ b/src/cluster/maintenance_agent.h
@@ -9,16 +9,16 @@
 #include <string>
 #include <string_view>
 
-#include "accord/accord.h"
 #include "base/timer.h"
 #include "event_log/event_log.h"
+#include "maintenance/maintenance_controller.h"
 #include "membership/swim_membership.h"
 #include "options/options.h"
 #include "settings/settings.h"
-#include "upkeep/conduct.h"
-#include "zones/zones.h"
+#include "shared_config/shared_config_node.h"
+#include "zone_failover/zone_failover.h"
 
-namespace cairnhub::fleet {
+namespace cairnhub::cluster {
 
 // What the program does for the fleet.
 struct Program {
@@ -43,38 +43,38 @@
   // `send` sends bytes to a broker by name.
   using Send = std::function<void(const std::string& to, const std::string& bytes)>;
   Works(event_base* base, const options::Fleet& options, const settings::Settings& settings,
-        accord::Accord& accord, const membership::SwimMembership& peers, const zones::Zones* zones,
-        EventLog* event_log, Send send);
+        shared_config::Accord& accord, const membership::SwimMembership& peers,
+        const zone_failover::Zones* zones, EventLog* event_log, Send send);
 
   Time wake() const { return conduct_.wake(); }
   // `acted`: what the core acts on; `listed`: the own list's nodes, of that revision.
-  void turn(Time now, const Program& program, const accord::Acting& acted,
+  void turn(Time now, const Program& program, const shared_config::Acting& acted,
             const std::map<std::string, Listed>& listed, std::uint64_t revision);
   void heard(Time now, const Program& program, const std::string& from, std::string_view bytes);
   void gone(const std::string& broker) { conduct_.gone(broker); }
   void applied();  // an entry on works was: its steps are recorded
 
   // For operators. The works as this broker's log has them; null where it runs none.
-  const upkeep::Works* book() const;
-  const upkeep::Conduct& conduct() const { return conduct_; }
+  const maintenance::Works* book() const;
+  const maintenance::Conduct& conduct() const { return conduct_; }
 
  private:
-  upkeep::Facts see(Time now, const std::map<std::string, Listed>& listed, std::uint64_t revision) const;
+  maintenance::Facts see(Time now, const std::map<std::string, Listed>& listed, std::uint64_t revision) const;
   void stand_down(const Program& program, std::uint64_t work);
 
   const options::Fleet& options_;
-  accord::Accord& accord_;
+  shared_config::Accord& accord_;
   const membership::SwimMembership& peers_;
-  const zones::Zones* zones_;
+  const zone_failover::Zones* zones_;
   EventLog* event_log_;
   Send send_;
-  upkeep::Conduct conduct_;
+  maintenance::Conduct conduct_;
   int cells_, width_;
   Time warm_after_;
-  std::map<std::uint64_t, upkeep::Step> recorded_;  // works by their last recorded step
+  std::map<std::uint64_t, maintenance::Step> recorded_;  // works by their last recorded step
   Timer leaves_;
   std::function<void()> stop_;
   bool standing_down_ = false;
 };
 
-}  // namespace cairnhub::fleet
+}  // namespace cairnhub::cluster
--- a/src/broker/account.h
+++ b/src/dispatch/account.h
@@ -2,7 +2,7 @@
 #pragma once
 #include "policy/endpoint_state.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::dispatch {
 
 // On whose account the bytes of a send go.
 struct Account {
@@ -19,4 +19,4 @@
   long long out = 0, in = 0;
 };
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::dispatch
--- a/src/broker/hosts.h
+++ b/src/dispatch/backend.h
@@ -6,10 +6,10 @@
 #include <string_view>
 #include <utility>
 
-#include "broker/members.h"
-#include "broker/query.h"
+#include "dispatch/endpoint_registry.h"
+#include "dispatch/query.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::dispatch {
 
 // How far a send had come when it ended. Only one wholly written can have run.
 enum class Reached { never_connected, partly_written, wholly_written };
@@ -50,4 +50,4 @@
   std::function<void()> look_;
 };
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::dispatch
--- a/src/broker/common.h
+++ b/src/dispatch/common.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "broker/account.h"
+#include "dispatch/account.h"
 #include "policy/request_policy.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::dispatch {
 
 struct Query;
 
@@ -66,4 +66,4 @@
   virtual bool stays_near(int op_type) = 0;
 };
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::dispatch
--- a/src/broker/config.cpp
+++ b/src/dispatch/config.cpp
@@ -1,11 +1,11 @@
-#include "broker/config.h"
+#include "dispatch/config.h"
 
 #include <charconv>
 #include <fstream>
 #include <iterator>
 #include <nlohmann/json.hpp>
 
-namespace cairnhub::broker {
+namespace cairnhub::dispatch {
 
 namespace {
 
@@ -52,4 +52,4 @@
   return c;
 }
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::dispatch
--- a/src/broker/config.h
+++ b/src/dispatch/config.h
@@ -5,7 +5,7 @@
 
 #include "settings/settings.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::dispatch {
 
 struct Config {
   std::string listen, discovery;
@@ -18,4 +18,4 @@
 // Throws std::runtime_error with one plain line.
 Config read_config(const std::string& path);
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::dispatch
--- a/src/broker/watch.cpp
+++ b/src/dispatch/discovery_watch.cpp
@@ -1,4 +1,4 @@
-#include "broker/watch.h"
+#include "dispatch/discovery_watch.h"
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -10,7 +10,7 @@
 #include "base/clock.h"
 #include "base/sockets.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::dispatch {
 
 namespace {
 
@@ -175,4 +175,4 @@
   on_update_(false);
 }
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::dispatch
--- a/src/broker/watch.h
+++ b/src/dispatch/discovery_watch.h
@@ -10,12 +10,12 @@
 #include <string>
 
 #include "base/timer.h"
-#include "broker/members.h"
+#include "dispatch/endpoint_registry.h"
 
 struct evhttp_connection;
 struct evhttp_request;
 
-namespace cairnhub::broker {
+namespace cairnhub::dispatch {
 
 // How long calls wait, and how soon one is given up or made again.
 struct WatchTiming {
@@ -73,4 +73,4 @@
   Time retry_wait_ = 0, called_at_ = 0;
 };
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::dispatch
--- a/src/broker/members.cpp
+++ b/src/dispatch/endpoint_registry.cpp
@@ -1,4 +1,4 @@
-#include "broker/members.h"
+#include "dispatch/endpoint_registry.h"
 
 #include <cmath>
 #include <nlohmann/json.hpp>
@@ -7,7 +7,7 @@
 
 #include "base/clock.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::dispatch {
 
 namespace {
 
@@ -183,4 +183,4 @@
   std::erase_if(known_, [&](const auto& known) { return known.second.id == id; });
 }
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::dispatch
--- a/src/broker/members.h
+++ b/src/dispatch/endpoint_registry.h
@@ -10,10 +10,10 @@
 #include <vector>
 
 #include "base/address.h"
-#include "broker/common.h"
+#include "dispatch/common.h"
 #include "policy/request_policy.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::dispatch {
 
 class Members {
  public:
@@ -67,4 +67,4 @@
   std::uint64_t revision_ = 0, lists_ = 0;
 };
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::dispatch
--- a/src/broker/book.cpp
+++ b/src/dispatch/in_flight_requests.cpp
@@ -1,8 +1,8 @@
-#include "broker/book.h"
+#include "dispatch/in_flight_requests.h"
 
 #include "base/clock.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::dispatch {
 
 namespace {
 
@@ -103,4 +103,4 @@
   queries_.erase(q.id);
 }
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::dispatch
--- a/src/broker/book.h
+++ b/src/dispatch/in_flight_requests.h
@@ -5,10 +5,10 @@
 #include <utility>
 #include <vector>
 
-#include "broker/hosts.h"
-#include "broker/query.h"
+#include "dispatch/backend.h"
+#include "dispatch/query.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::dispatch {
 
 class Book {
  public:
@@ -52,4 +52,4 @@
   std::vector<Note> notes_;
 };
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::dispatch
--- a/src/broker/query.h
+++ b/src/dispatch/query.h
@@ -6,10 +6,10 @@
 #include <string_view>
 #include <vector>
 
-#include "broker/account.h"
+#include "dispatch/account.h"
 #include "policy/request_policy.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::dispatch {
 
 struct Part;
 struct Query;
@@ -75,4 +75,4 @@
   std::unique_ptr<Client> client;                    // none once answered or gone
 };
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::dispatch
--- a/src/broker/route.cpp
+++ b/src/dispatch/request_dispatcher.cpp
@@ -1,10 +1,10 @@
-#include "broker/route.h"
+#include "dispatch/request_dispatcher.h"
 
 #include <algorithm>
 
 #include "base/clock.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::dispatch {
 
 namespace {
 
@@ -198,4 +198,4 @@
   hosts_.send(*p->attempts.back(), d.endpoint);
 }
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::dispatch
--- a/src/broker/route.h
+++ b/src/dispatch/request_dispatcher.h
@@ -3,12 +3,12 @@
 #include <map>
 
 #include "base/timer.h"
-#include "broker/book.h"
-#include "broker/common.h"
-#include "broker/trace.h"
+#include "dispatch/common.h"
+#include "dispatch/in_flight_requests.h"
+#include "dispatch/request_trace.h"
 #include "policy/request_class_limiter.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::dispatch {
 
 class Route {
  public:
@@ -67,4 +67,4 @@
   std::uint32_t arrivals_ = 0;
 };
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::dispatch
--- a/src/broker/trace.cpp
+++ b/src/dispatch/request_trace.cpp
@@ -1,4 +1,4 @@
-#include "broker/trace.h"
+#include "dispatch/request_trace.h"
 
 #include <cstdio>
 #include <cstdlib>
@@ -6,7 +6,7 @@
 
 #include "base/clock.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::dispatch {
 
 namespace {
 
@@ -65,4 +65,4 @@
   return line + "; " + (sends.empty() ? "nothing sent" : "sends " + sends);
 }
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::dispatch
--- a/src/broker/trace.h
+++ b/src/dispatch/request_trace.h
@@ -8,9 +8,9 @@
 #include <functional>
 #include <string>
 
-#include "broker/query.h"
+#include "dispatch/query.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::dispatch {
 
 class Trace {
  public:
@@ -29,4 +29,4 @@
 std::string trace_line(const Query& query, const char* how, Time come_back, Time now,
                        const Trace::Names& names);
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::dispatch
--- a/src/broker/phased.cpp
+++ b/src/dispatch/two_phase_runner.cpp
@@ -1,15 +1,15 @@
-#include "broker/phased.h"
+#include "dispatch/two_phase_runner.h"
 
 #include <algorithm>
 #include <utility>
 
 #include "base/clock.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::dispatch {
 
 // An op type, and the numbers under which the decision module knows its rounds.
 struct Phased::Op {
-  phases::Planner planner;
+  two_phase::Planner planner;
   int match, again, fetch;
 };
 
@@ -19,9 +19,9 @@
   std::string name;
   bool client_retry = false;
   std::unique_ptr<PhasedClient> client;
-  phases::Plan plan;
-  std::vector<broker::Query*> open;  // by round; null once ended
-  std::size_t held = 0;              // as counted in the book
+  two_phase::Plan plan;
+  std::vector<dispatch::Query*> open;  // by round; null once ended
+  std::size_t held = 0;                // as counted in the book
   Time due = kNever;
   bool queued = false;
 };
@@ -40,26 +40,26 @@
     if (wrong) log("phases", "%s: %s", part.name.c_str(), wrong);
     return wrong ? Use::spoilt : Use::taken;
   }
-  void answered(const broker::Query& q, bool whole) override {
-    ended(q, whole ? phases::RoundEnd::whole : phases::RoundEnd::in_part, 0);
+  void answered(const dispatch::Query& q, bool whole) override {
+    ended(q, whole ? two_phase::RoundEnd::whole : two_phase::RoundEnd::in_part, 0);
   }
-  void pushed_back(const broker::Query& q, Time come_back) override {
+  void pushed_back(const dispatch::Query& q, Time come_back) override {
     const bool sent =
         std::any_of(q.parts.begin(), q.parts.end(), [](const auto& p) { return !p->attempts.empty(); });
-    ended(q, sent ? phases::RoundEnd::failed : phases::RoundEnd::pushed_back, come_back);
+    ended(q, sent ? two_phase::RoundEnd::failed : two_phase::RoundEnd::pushed_back, come_back);
   }
-  void failed(const broker::Query& q) override { ended(q, phases::RoundEnd::failed, 0); }
+  void failed(const dispatch::Query& q) override { ended(q, two_phase::RoundEnd::failed, 0); }
 
   // Which blocks were really asked: undrawn parts stay unsent.
-  static void note_sent(Run& run, int round, const broker::Query& q) {
-    const phases::Round& r = run.plan.round(round);
-    if (r.kind != phases::RoundKind::match) return;
+  static void note_sent(Run& run, int round, const dispatch::Query& q) {
+    const two_phase::Round& r = run.plan.round(round);
+    if (r.kind != two_phase::RoundKind::match) return;
     for (std::size_t i = 0; i < q.parts.size(); ++i)
       if (!q.parts[i]->attempts.empty()) run.plan.sent(r.blocks[i]);
   }
 
  private:
-  void ended(const broker::Query& q, phases::RoundEnd how, Time come_back) {
+  void ended(const dispatch::Query& q, two_phase::RoundEnd how, Time come_back) {
     note_sent(run_, round_, q);
     run_.open[round_] = nullptr;
     run_.plan.round_ended(now(), round_, how, come_back);
@@ -83,13 +83,13 @@
 
 Phased::~Phased() = default;
 
-void Phased::allow(int op_type, const RequestClass& op, const phases::Terms& terms) {
+void Phased::allow(int op_type, const RequestClass& op, const two_phase::Terms& terms) {
   // Each round has a time of its own, which ends it; until then it's worth going on.
   RequestClass derived = op;
   derived.late_value_share = 1;
   derived.request_timeout = 0;  // a round that comes with little time is no client's later try
   derived.second_step_shard_requests = 0;
-  ops_[op_type] = std::make_unique<Op>(Op{phases::Planner(terms), 0, 0, 0});
+  ops_[op_type] = std::make_unique<Op>(Op{two_phase::Planner(terms), 0, 0, 0});
   Op& mine = *ops_[op_type];
   const auto add = [&](const RequestClass& o) {
     policy_.add_request_class(o);
@@ -115,11 +115,16 @@
 }
 
 std::function<void()> Phased::take(const std::string& name, int op_type, bool client_retry,
-                                   phases::Query query, std::unique_ptr<PhasedClient> client) {
+                                   two_phase::Query query, std::unique_ptr<PhasedClient> client) {
   const RunId id = ++last_id_;
   Op& op = *ops_.at(op_type);
-  auto run = std::make_unique<Run>(Run{
-      id, op, name, client_retry, std::move(client), phases::Plan(op.planner, std::move(query), now()), {}});
+  auto run = std::make_unique<Run>(Run{id,
+                                       op,
+                                       name,
+                                       client_retry,
+                                       std::move(client),
+                                       two_phase::Plan(op.planner, std::move(query), now()),
+                                       {}});
   names_.insert(name);
   recount(*run);
   look_at(*(runs_[id] = std::move(run)));
@@ -150,7 +155,7 @@
 void Phased::pull(Run& run) {
   run.queued = false;
   while (const auto d = run.plan.next(now())) {
-    if (d->kind != phases::Decision::Kind::ask) return finish(run, *d);
+    if (d->kind != two_phase::Decision::Kind::ask) return finish(run, *d);
     ask(run, d->round);
   }
   sleep(run, run.plan.due(now()));
@@ -166,21 +171,21 @@
 }
 
 void Phased::ask(Run& run, int round) {
-  const phases::Round& r = run.plan.round(round);
-  auto q = std::make_unique<broker::Query>();
+  const two_phase::Round& r = run.plan.round(round);
+  auto q = std::make_unique<dispatch::Query>();
   q->name = run.name + "/" + std::to_string(round);
   while (book_.holds(q->name)) q->name += '\'';  // Danger: another client may have chosen the very name
   q->text = run.plan.take_text(round);
-  q->op_type = r.kind == phases::RoundKind::match   ? run.op.match
-               : r.kind == phases::RoundKind::again ? run.op.again
-                                                    : run.op.fetch;
-  q->client_retry = run.client_retry && r.kind == phases::RoundKind::match;
+  q->op_type = r.kind == two_phase::RoundKind::match   ? run.op.match
+               : r.kind == two_phase::RoundKind::again ? run.op.again
+                                                       : run.op.fetch;
+  q->client_retry = run.client_retry && r.kind == two_phase::RoundKind::match;
   q->left = r.span;
   q->values_most = SIZE_MAX;  // the plan takes them, and the memory bound holds
   for (const int b : r.blocks) {
     auto p = std::make_unique<Part>();
     p->shard = run.plan.block(b).shard;
-    p->weight = r.kind == phases::RoundKind::match ? run.plan.block(b).weight : 1;
+    p->weight = r.kind == two_phase::RoundKind::match ? run.plan.block(b).weight : 1;
     p->name = q->name + "." + std::to_string(p->shard);
     q->parts.push_back(std::move(p));
   }
@@ -191,11 +196,11 @@
 }
 
 // Rule 1: what is still out of any round ends with the answer, within the turn that gives it.
-void Phased::finish(Run& run, const phases::Decision& d) {
+void Phased::finish(Run& run, const two_phase::Decision& d) {
   for (std::size_t i = 0; i < run.open.size(); ++i)
     if (run.open[i]) Sub::note_sent(run, static_cast<int>(i), *run.open[i]);
   const auto client = std::move(run.client);
-  if (d.kind == phases::Decision::Kind::answer)
+  if (d.kind == two_phase::Decision::Kind::answer)
     client->answered(run.plan, d.whole);
   else
     client->pushed_back(d.span);
@@ -206,7 +211,7 @@
 void Phased::stop(Run& run) {
   names_.erase(run.name);
   sleep(run, kNever);
-  for (broker::Query*& q : run.open)
+  for (dispatch::Query*& q : run.open)
     if (q) route_.abandoned(std::exchange(q, nullptr)->id);
   book_.recount(run.held, 0);
 }
@@ -216,4 +221,4 @@
   if (!node.empty()) stop(*node.mapped());
 }
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::dispatch
--- a/src/broker/phased.h
+++ b/src/dispatch/two_phase_runner.h
@@ -1,5 +1,6 @@
-// Runs two-phase multigets: carries out what their plans (phases/plan.h) ask for, each round as a multiget of
-// its own through route and the decision module, and tells the plans what came of it. Chooses nothing.
+// Runs two-phase multigets: carries out what their plans (two_phase/query_plan.h) ask for, each round as a
+// multiget of its own through route and the decision module, and tells the plans what came of it. Chooses
+// nothing.
 #pragma once
 #include <deque>
 #include <functional>
@@ -10,17 +11,17 @@
 #include <vector>
 
 #include "base/timer.h"
-#include "broker/book.h"
-#include "broker/route.h"
-#include "phases/plan.h"
+#include "dispatch/in_flight_requests.h"
+#include "dispatch/request_dispatcher.h"
+#include "two_phase/query_plan.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::dispatch {
 
 // Who waits for a two-phase multiget. A front stands behind this. One of the two is called, once.
 class PhasedClient {
  public:
   virtual ~PhasedClient() = default;
-  virtual void answered(const phases::Plan& plan, bool whole) = 0;
+  virtual void answered(const two_phase::Plan& plan, bool whole) = 0;
   virtual void pushed_back(Time come_back) = 0;  // 0 = no advice; trying again is harmless
 };
 
@@ -32,14 +33,14 @@
 
   // Lets multigets of an op type have two phases; once each, after the settings' own op types. Only retriable
   // ones: a plan may ask a block again.
-  void allow(int op_type, const RequestClass& op, const phases::Terms& terms);
+  void allow(int op_type, const RequestClass& op, const two_phase::Terms& terms);
   void limit(int op_type, const OpLimits& limits);  // as the policy's of that op type
   bool allowed(int op_type) const { return ops_.count(op_type) != 0 && route_.two_phase(op_type); }
   int op_types() const { return op_types_; }  // of the policy, those of rounds included
   bool holds(const std::string& name) const { return names_.count(name) != 0; }
 
   // Returns what to call should the client leave.
-  std::function<void()> take(const std::string& name, int op_type, bool client_retry, phases::Query query,
+  std::function<void()> take(const std::string& name, int op_type, bool client_retry, two_phase::Query query,
                              std::unique_ptr<PhasedClient> client);
   // At the end of each turn: what follows for the plans that were told something. False where nothing did.
   bool follow_up();
@@ -52,7 +53,7 @@
 
   void pull(Run& run);
   void ask(Run& run, int round);
-  void finish(Run& run, const phases::Decision& d);
+  void finish(Run& run, const two_phase::Decision& d);
   void stop(Run& run);
   void left(RunId id);
   void look_at(Run& run);
@@ -72,4 +73,4 @@
   RunId last_id_ = 0;
 };
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::dispatch
--- a/src/fronts/http/arrival_times.cpp
+++ b/src/frontend/http/arrival_times.cpp
@@ -1,9 +1,9 @@
-#include "fronts/http/arrival_times.h"
+#include "frontend/http/arrival_times.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace cairnhub::broker {
+namespace cairnhub::frontend {
 
 namespace {
 
@@ -33,4 +33,4 @@
   return marks_.empty() || taken == 0 ? now : marks_.front().at;
 }
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::frontend
--- a/src/fronts/http/arrival_times.h
+++ b/src/frontend/http/arrival_times.h
@@ -8,7 +8,7 @@
 
 #include "base/time.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::frontend {
 
 class ArrivalTimes {
  public:
@@ -30,4 +30,4 @@
   std::optional<Time> unread_since_;
 };
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::frontend
--- a/src/fronts/http/take_in.cpp
+++ b/src/frontend/http/http_server.cpp
@@ -1,4 +1,4 @@
-#include "fronts/http/take_in.h"
+#include "frontend/http/http_server.h"
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -16,9 +16,9 @@
 
 #include "base/clock.h"
 #include "base/sockets.h"
-#include "fronts/http/arrival_times.h"
+#include "frontend/http/arrival_times.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::frontend {
 
 namespace {
 
@@ -109,7 +109,7 @@
 };
 
 // The reply that a request waits for.
-class TakeIn::Waiting : public Reply {
+class TakeIn::Waiting : public dispatch::Reply {
  public:
   explicit Waiting(ClientState& client) : client_(&client) { client.waiting = this; }
   ~Waiting() override {
@@ -150,7 +150,7 @@
 }
 
 TakeIn::TakeIn(event_base* base, const std::string& listen, int pause_at, std::size_t most_idle,
-               std::size_t unfinished_most, Admit& admit, Route& route)
+               std::size_t unfinished_most, platform::Admit& admit, dispatch::Route& route)
     : base_(base),
       pause_at_(pause_at),
       most_idle_(most_idle),
@@ -358,7 +358,7 @@
   watch_for_departure(client);
   // Danger: nothing may be sent on for a client that has gone. The event of its end, just asked for, closes.
   if (peer_closed(socket_of(client.connection))) return;
-  std::unique_ptr<Reply> reply = std::make_unique<Waiting>(client);
+  std::unique_ptr<dispatch::Reply> reply = std::make_unique<Waiting>(client);
   if (const char* wrong = framing(r)) return reply->answer(400, "", std::string(wrong) + "\n");
   const char* stated = evhttp_uri_get_path(evhttp_request_get_evhttp_uri(r));
   const std::string_view path = stated ? stated : "";
@@ -380,12 +380,12 @@
   };
   evbuffer* body = evhttp_request_get_input_buffer(r);
   const std::size_t n = evbuffer_get_length(body);
-  Asked asked{path.substr(path.empty() ? 0 : 1, path.find('/', 1) - 1),
-              header("X-Txn"),
-              header("X-Lane"),
-              header("X-Remaining"),
-              header("X-Resent"),
-              {n ? reinterpret_cast<const char*>(evbuffer_pullup(body, -1)) : "", n}};
+  platform::Asked asked{path.substr(path.empty() ? 0 : 1, path.find('/', 1) - 1),
+                        header("X-Txn"),
+                        header("X-Lane"),
+                        header("X-Remaining"),
+                        header("X-Resent"),
+                        {n ? reinterpret_cast<const char*>(evbuffer_pullup(body, -1)) : "", n}};
   asked.waited = waited;
   std::function<void()> leave;
   if (front != fronts_.end()) {
@@ -490,4 +490,4 @@
   close_where([](const ClientState& client) { return client.at_rest(); });
 }
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::frontend
--- a/src/fronts/http/take_in.h
+++ b/src/frontend/http/http_server.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "base/timer.h"
-#include "fronts/platform/admit.h"
+#include "frontend/platform/request_parser.h"
 
 struct evconnlistener;
 struct bufferevent;
@@ -18,7 +18,7 @@
 struct evhttp_connection;
 struct evhttp_request;
 
-namespace cairnhub::broker {
+namespace cairnhub::frontend {
 
 // A form of requests beside the platform's, on the same listener.
 class Front {
@@ -26,7 +26,8 @@
   virtual ~Front() = default;
   virtual bool takes(std::string_view path) const = 0;
   // Returns what to call should the client leave before it's answered.
-  virtual std::function<void()> take(const Asked& asked, std::unique_ptr<Reply> reply) = 0;
+  virtual std::function<void()> take(const platform::Asked& asked,
+                                     std::unique_ptr<dispatch::Reply> reply) = 0;
 };
 
 class TakeIn {
@@ -36,7 +37,7 @@
   // that have been answered, those idle longest are let go. `unfinished_most`: bytes of unfinished requests,
   // over all connections.
   TakeIn(event_base* base, const std::string& listen, int pause_at, std::size_t most_idle,
-         std::size_t unfinished_most, Admit& admit, Route& route);
+         std::size_t unfinished_most, platform::Admit& admit, dispatch::Route& route);
   ~TakeIn();
 
   void not_ready() { ready_ = false; }  // whoever asks for its health is told so
@@ -82,8 +83,8 @@
   Timer sweep_timer_;
   Timer early_bytes_timer_;  // for clients that wrote ahead: whether they have left
   Timer accept_again_;
-  Admit& admit_;
-  Route& route_;
+  platform::Admit& admit_;
+  dispatch::Route& route_;
   std::vector<Front*> fronts_;
   std::vector<bufferevent*>
       just_accepted_;  // accepted in this turn of the loop; held until they get their state
@@ -93,4 +94,4 @@
   bool paused_ = false, last_answers_ = false, closed_ = false, ready_ = true, can_serve_ = false;
 };
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::frontend
--- a/src/fronts/opensearch/front.cpp
+++ b/src/frontend/opensearch/opensearch_frontend.cpp
@@ -1,4 +1,4 @@
-#include "fronts/opensearch/front.h"
+#include "frontend/opensearch/opensearch_frontend.h"
 
 #include <algorithm>
 #include <map>
@@ -6,9 +6,9 @@
 
 #include "base/clock.h"
 #include "base/log.h"
-#include "fronts/platform/relay.h"
+#include "frontend/platform/response_writer.h"
 
-namespace cairnhub::fronts::opensearch {
+namespace cairnhub::frontend::opensearch {
 
 namespace os = cairnhub::opensearch;
 using os::json;
@@ -67,7 +67,7 @@
 
 // A request of the API, of one search or many: answered once, when all of them have ended.
 struct Front::Job {
-  std::unique_ptr<broker::Reply> reply;
+  std::unique_ptr<dispatch::Reply> reply;
   std::vector<os::Outcome> outcomes;
   std::vector<RequestId> open;  // by slot; 0 once ended
   std::vector<Time> come_back;
@@ -87,12 +87,12 @@
   void answer() {
     const os::Outcome all = form(*this);
     const Time advice = outcomes.size() == 1 ? come_back[0] : 0;
-    reply->answer(all.status, broker::relay::come_back_text(advice), all.body, "application/json");
+    reply->answer(all.status, frontend::platform::come_back_text(advice), all.body, "application/json");
   }
 };
 
 // The client of one search's multiget.
-class Front::Ask : public broker::Client {
+class Front::Ask : public dispatch::Client {
  public:
   Ask(Front& home, std::shared_ptr<Job> job, Slot slot, const Index& index, os::Search search, bool counts)
       : home_(home),
@@ -103,7 +103,7 @@
         counts_(counts) {}
   ~Ask() override { home_.book_.recount(held_, 0); }
 
-  Use use(const broker::Part& part, std::string_view value) override {
+  Use use(const dispatch::Part& part, std::string_view value) override {
     auto answer = std::make_unique<os::BlockAnswer>();
     const char* wrong = os::read_answer(value, search_, index_.name, part.shard - index_.first, *answer);
     if (wrong) {
@@ -117,7 +117,7 @@
     answers_[part.shard] = std::move(answer);
     return Use::taken;
   }
-  void answered(const broker::Query& q, bool whole) override {
+  void answered(const dispatch::Query& q, bool whole) override {
     const os::Shards shards = standing(q, whole);
     std::vector<os::Part> parts;
     for (const auto& [block, a] : answers_) parts.push_back({block, a.get()});
@@ -132,16 +132,16 @@
     job_->end(slot_, counts_ ? os::count_answer(m, shards, whole)
                              : os::search_answer(search_, m, shards, whole, took));
   }
-  void pushed_back(const broker::Query& q, Time come_back) override {
+  void pushed_back(const dispatch::Query& q, Time come_back) override {
     const bool sent =
         std::any_of(q.parts.begin(), q.parts.end(), [](auto& p) { return !p->attempts.empty(); });
     job_->end(slot_, sent ? os::failed(standing(q, false)) : os::pushed_back(), come_back);
   }
-  void failed(const broker::Query& q) override { job_->end(slot_, os::failed(standing(q, false))); }
+  void failed(const dispatch::Query& q) override { job_->end(slot_, os::failed(standing(q, false))); }
 
  private:
   // What became of each block, from its last send.
-  os::Shards standing(const broker::Query& q, bool whole) const {
+  os::Shards standing(const dispatch::Query& q, bool whole) const {
     os::Shards s;
     s.total = static_cast<int>(q.parts.size());
     for (const auto& p : q.parts) {
@@ -153,7 +153,7 @@
       os::Failure f;
       f.index = index_.name, f.block = p->shard - index_.first;
       if (!p->attempts.empty()) {
-        const broker::Attempt& last = *p->attempts.back();
+        const dispatch::Attempt& last = *p->attempts.back();
         f.node = home_.around_.node_name(last.node);
         f.how = how(last);
         const auto why = unusable_.find(p->shard);
@@ -164,7 +164,7 @@
     }
     return s;
   }
-  static os::Failure::How how(const broker::Attempt& e) {
+  static os::Failure::How how(const dispatch::Attempt& e) {
     if (!e.ended) return os::Failure::How::timed_out;
     switch (e.how) {
       case AttemptOutcome::kQueueFull:
@@ -195,8 +195,8 @@
   bool counts_;
 };
 
-Front::Front(std::vector<Index> indices, const os::Limits& limits, broker::Book& book, broker::Route& route,
-             const Surroundings& around)
+Front::Front(std::vector<Index> indices, const os::Limits& limits, dispatch::Book& book,
+             dispatch::Route& route, const Surroundings& around)
     : indices_(std::move(indices)), limits_(limits), book_(book), route_(route), around_(around) {}
 
 bool Front::takes(std::string_view path) const { return known_verb(split(path).second); }
@@ -210,7 +210,8 @@
   return nullptr;
 }
 
-std::function<void()> Front::take(const broker::Asked& asked, std::unique_ptr<broker::Reply> reply) {
+std::function<void()> Front::take(const frontend::platform::Asked& asked,
+                                  std::unique_ptr<dispatch::Reply> reply) {
   const auto [index, verb] = split(asked.path);
   const auto says = [&](const os::Outcome& o) {
     reply->answer(o.status, "", o.body, "application/json");
@@ -239,7 +240,7 @@
                   const std::string& body, bool counts) {
   // Danger: a thousand searches in one request. Each counts by itself.
   if (book_.full()) return job->end(slot, os::pushed_back());
-  auto q = std::make_unique<broker::Query>();
+  auto q = std::make_unique<dispatch::Query>();
   do q->name = "os" + std::to_string(++asked_);
   while (book_.holds(q->name));
   q->op_type = index.op_type;
@@ -247,7 +248,7 @@
   q->left = search.timeout ? std::min(*search.timeout, index.timeout) : index.timeout;
   q->values_most = SIZE_MAX;  // what is kept of them is counted as it comes
   for (int b = 0; b < index.blocks; ++b) {
-    auto p = std::make_unique<broker::Part>();
+    auto p = std::make_unique<dispatch::Part>();
     p->shard = index.first + b, p->weight = 1.0 / index.blocks;
     p->name = q->name + "." + std::to_string(p->shard);
     p->target = "/" + index.name + "/_search?preference=_shards:" + std::to_string(b);
@@ -258,7 +259,7 @@
   route_.arrived(std::move(q));
 }
 
-std::shared_ptr<Front::Job> Front::job(std::unique_ptr<broker::Reply> reply, std::size_t slots,
+std::shared_ptr<Front::Job> Front::job(std::unique_ptr<dispatch::Reply> reply, std::size_t slots,
                                        std::function<os::Outcome(Job&)> form) {
   auto job = std::make_shared<Job>();
   job->reply = std::move(reply), job->form = std::move(form);
@@ -268,8 +269,8 @@
   return job;
 }
 
-std::function<void()> Front::search(const broker::Asked& asked, const std::string& name, bool counts,
-                                    std::unique_ptr<broker::Reply> reply) {
+std::function<void()> Front::search(const frontend::platform::Asked& asked, const std::string& name,
+                                    bool counts, std::unique_ptr<dispatch::Reply> reply) {
   const auto refuse = [&](const os::Fault& f) {
     reply->answer(f.status, "", os::error_body(f), "application/json");
     return nullptr;
@@ -291,8 +292,8 @@
   return leaves(j);
 }
 
-std::function<void()> Front::msearch(const broker::Asked& asked, const std::string& name,
-                                     std::unique_ptr<broker::Reply> reply) {
+std::function<void()> Front::msearch(const frontend::platform::Asked& asked, const std::string& name,
+                                     std::unique_ptr<dispatch::Reply> reply) {
   auto read = os::read_msearch(asked.body, name, limits_);
   if (const auto* f = std::get_if<os::Fault>(&read))
     return reply->answer(f->status, "", os::error_body(*f), "application/json"), nullptr;
@@ -324,8 +325,8 @@
 
 // Where a document stands isn't known, so every block is asked; found nowhere means so only if all of them
 // answered.
-std::function<void()> Front::mget(const broker::Asked& asked, const std::string& name,
-                                  std::unique_ptr<broker::Reply> reply) {
+std::function<void()> Front::mget(const frontend::platform::Asked& asked, const std::string& name,
+                                  std::unique_ptr<dispatch::Reply> reply) {
   auto read = os::read_mget(asked.body, name, limits_);
   if (const auto* f = std::get_if<os::Fault>(&read))
     return reply->answer(f->status, "", os::error_body(*f), "application/json"), nullptr;
@@ -418,4 +419,4 @@
   return out;
 }
 
-}  // namespace cairnhub::fronts::opensearch
+}  // namespace cairnhub::frontend::opensearch
--- a/src/fronts/opensearch/front.h
+++ b/src/frontend/opensearch/opensearch_frontend.h
@@ -6,12 +6,12 @@
 #include <string>
 #include <vector>
 
-#include "broker/book.h"
-#include "broker/route.h"
-#include "fronts/http/take_in.h"
+#include "dispatch/in_flight_requests.h"
+#include "dispatch/request_dispatcher.h"
+#include "frontend/http/http_server.h"
 #include "opensearch/response.h"
 
-namespace cairnhub::fronts::opensearch {
+namespace cairnhub::frontend::opensearch {
 
 // As the operators declare it.
 struct Index {
@@ -30,39 +30,40 @@
   virtual int nodes() const = 0;                                  // ready ones
 };
 
-class Front : public broker::Front {
+class Front : public frontend::Front {
  public:
-  Front(std::vector<Index> indices, const cairnhub::opensearch::Limits& limits, broker::Book& book,
-        broker::Route& route, const Surroundings& around);
+  Front(std::vector<Index> indices, const cairnhub::opensearch::Limits& limits, dispatch::Book& book,
+        dispatch::Route& route, const Surroundings& around);
   bool takes(std::string_view path) const override;
-  std::function<void()> take(const broker::Asked& asked, std::unique_ptr<broker::Reply> reply) override;
+  std::function<void()> take(const frontend::platform::Asked& asked,
+                             std::unique_ptr<dispatch::Reply> reply) override;
 
  private:
   struct Job;
   class Ask;
   using Slot = std::size_t;
 
-  std::function<void()> search(const broker::Asked& asked, const std::string& index, bool counts,
-                               std::unique_ptr<broker::Reply> reply);
-  std::function<void()> msearch(const broker::Asked& asked, const std::string& index,
-                                std::unique_ptr<broker::Reply> reply);
-  std::function<void()> mget(const broker::Asked& asked, const std::string& index,
-                             std::unique_ptr<broker::Reply> reply);
+  std::function<void()> search(const frontend::platform::Asked& asked, const std::string& index, bool counts,
+                               std::unique_ptr<dispatch::Reply> reply);
+  std::function<void()> msearch(const frontend::platform::Asked& asked, const std::string& index,
+                                std::unique_ptr<dispatch::Reply> reply);
+  std::function<void()> mget(const frontend::platform::Asked& asked, const std::string& index,
+                             std::unique_ptr<dispatch::Reply> reply);
   cairnhub::opensearch::Outcome health() const;
   std::string cat_shards(const std::string& index) const;
   const Index* find(const std::string& name) const;
   void begin(const std::shared_ptr<Job>& job, Slot slot, const Index& index,
              const cairnhub::opensearch::Search& search, const std::string& body, bool counts);
-  static std::shared_ptr<Job> job(std::unique_ptr<broker::Reply> reply, std::size_t slots,
+  static std::shared_ptr<Job> job(std::unique_ptr<dispatch::Reply> reply, std::size_t slots,
                                   std::function<cairnhub::opensearch::Outcome(Job&)> form);
   std::function<void()> leaves(const std::shared_ptr<Job>& job);
 
   std::vector<Index> indices_;
   cairnhub::opensearch::Limits limits_;
-  broker::Book& book_;
-  broker::Route& route_;
+  dispatch::Book& book_;
+  dispatch::Route& route_;
   const Surroundings& around_;
   std::uint64_t asked_ = 0;
 };
 
-}  // namespace cairnhub::fronts::opensearch
+}  // namespace cairnhub::frontend::opensearch
--- a/src/fronts/platform/admit.cpp
+++ b/src/frontend/platform/request_parser.cpp
@@ -1,4 +1,4 @@
-#include "fronts/platform/admit.h"
+#include "frontend/platform/request_parser.h"
 
 #include <charconv>
 #include <cmath>
@@ -6,9 +6,9 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
-#include "fronts/platform/relay.h"
+#include "frontend/platform/response_writer.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::frontend::platform {
 
 namespace {
 
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-Admit::Admit(const settings::Settings& s, Book& book, Route& route)
+Admit::Admit(const settings::Settings& s, dispatch::Book& book, dispatch::Route& route)
     : shards_(s.whole("family-info.ranges")), book_(book), route_(route) {
   for (int i = 0; i < s.whole("classes.count"); ++i) {
     const std::string at = "classes." + std::to_string(i) + ".";
@@ -41,8 +41,8 @@
   }
 }
 
-RequestId Admit::take(const Asked& asked, std::unique_ptr<Reply> reply) {
-  auto query = std::make_unique<Query>();
+RequestId Admit::take(const Asked& asked, std::unique_ptr<dispatch::Reply> reply) {
+  auto query = std::make_unique<dispatch::Query>();
   if (const char* wrong = read(asked, *query)) {
     reply->answer(status_of(wrong), "", std::string(wrong) + "\n");
     return 0;
@@ -51,7 +51,7 @@
     reply->answer(503, "", "too many in hand\n");
     return 0;
   }
-  query->client = relay::client(std::move(reply));
+  query->client = client(std::move(reply));
   const RequestId id = book_.next_id();
   route_.arrived(std::move(query));
   return id;
@@ -62,7 +62,7 @@
   return wrong == kTimeIsUp ? 503 : 400;
 }
 
-const char* Admit::read(const Asked& asked, Query& q) const {
+const char* Admit::read(const Asked& asked, dispatch::Query& q) const {
   if (const char* wrong = read_head(asked, q)) return wrong;
   const auto json = nlohmann::json::parse(asked.body, nullptr, false);
   if (!json.is_object()) return "the body is not a JSON object";
@@ -72,7 +72,7 @@
   return read_parts(json, q);
 }
 
-const char* Admit::read_head(const Asked& asked, Query& q) const {
+const char* Admit::read_head(const Asked& asked, dispatch::Query& q) const {
   const auto op = op_types_.find(std::string(asked.op_type));
   if (op == op_types_.end()) return kNoSuchOpType;
   if (!asked.op_type_said || asked.op_type != asked.op_type_said)
@@ -93,7 +93,7 @@
   return nullptr;
 }
 
-const char* Admit::read_parts(const nlohmann::json& body, Query& q) const {
+const char* Admit::read_parts(const nlohmann::json& body, dispatch::Query& q) const {
   const auto parts = body.find("buckets");
   if (parts == body.end() || !parts->is_array() || parts->empty())
     return "buckets is missing or not a list of parts";
@@ -110,7 +110,7 @@
       return "a part's share is not a number above 0, up to 1";
     sum += weight->get<double>();
     if (!named.insert(shard->get<int>()).second) return "a shard is named twice";
-    auto part = std::make_unique<Part>();
+    auto part = std::make_unique<dispatch::Part>();
     part->shard = shard->get<int>(), part->weight = weight->get<double>();
     part->name = q.name + "." + std::to_string(part->shard);
     q.parts.push_back(std::move(part));
@@ -119,4 +119,4 @@
   return nullptr;
 }
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::frontend::platform
--- a/src/fronts/platform/admit.h
+++ b/src/frontend/platform/request_parser.h
@@ -5,11 +5,11 @@
 #include <string>
 #include <unordered_map>
 
-#include "broker/book.h"
-#include "broker/route.h"
+#include "dispatch/in_flight_requests.h"
+#include "dispatch/request_dispatcher.h"
 #include "settings/settings.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::frontend::platform {
 
 // What a client asked, as its protocol brought it. Null: it didn't say.
 struct Asked {
@@ -22,14 +22,14 @@
 
 class Admit {
  public:
-  Admit(const settings::Settings& s, Book& book, Route& route);
+  Admit(const settings::Settings& s, dispatch::Book& book, dispatch::Route& route);
 
   // Takes it, and returns its id; or refuses it with a plain answer, and returns 0.
-  RequestId take(const Asked& asked, std::unique_ptr<Reply> reply);
+  RequestId take(const Asked& asked, std::unique_ptr<dispatch::Reply> reply);
 
   // For fronts of other forms: what is wrong, or null.
-  const char* read_head(const Asked& asked, Query& into) const;  // all but the body
-  const char* read_parts(const nlohmann::json& body, Query& into) const;
+  const char* read_head(const Asked& asked, dispatch::Query& into) const;  // all but the body
+  const char* read_parts(const nlohmann::json& body, dispatch::Query& into) const;
   bool full() const { return book_.full(); }
   // The HTTP status that says so of what read_head or read_parts found wrong.
   static int status_of(const char* wrong);
@@ -39,12 +39,12 @@
     int index;
     Time route_timeout;
   };
-  const char* read(const Asked& asked, Query& into) const;
+  const char* read(const Asked& asked, dispatch::Query& into) const;
 
   std::unordered_map<std::string, OpRead> op_types_;
   int shards_;
-  Book& book_;
-  Route& route_;
+  dispatch::Book& book_;
+  dispatch::Route& route_;
 };
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::frontend::platform
--- a/src/fronts/platform/relay.cpp
+++ b/src/frontend/platform/response_writer.cpp
@@ -1,8 +1,8 @@
-#include "fronts/platform/relay.h"
+#include "frontend/platform/response_writer.h"
 
 #include <cstdio>
 
-namespace cairnhub::broker::relay {
+namespace cairnhub::frontend::platform {
 
 namespace {
 
@@ -21,10 +21,10 @@
   }
 }
 
-class PlatformClient : public Client {
+class PlatformClient : public dispatch::Client {
  public:
-  explicit PlatformClient(std::unique_ptr<Reply> reply) : reply_(std::move(reply)) {}
-  void answered(const Query& q, bool whole) override {
+  explicit PlatformClient(std::unique_ptr<dispatch::Reply> reply) : reply_(std::move(reply)) {}
+  void answered(const dispatch::Query& q, bool whole) override {
     std::string body = std::string("{\"finished\":") + (whole ? "true" : "false") + ",\"found\":[";
     bool first = true;
     for (const auto& p : q.parts) {
@@ -37,18 +37,20 @@
     }
     reply_->answer(200, "", body + "]}");
   }
-  void pushed_back(const Query&, Time come_back) override {
+  void pushed_back(const dispatch::Query&, Time come_back) override {
     reply_->answer(503, come_back_text(come_back), "not now; trying again is harmless\n");
   }
-  void failed(const Query&) override { reply_->answer(500, "", "given up; it may have taken effect\n"); }
+  void failed(const dispatch::Query&) override {
+    reply_->answer(500, "", "given up; it may have taken effect\n");
+  }
 
  private:
-  std::unique_ptr<Reply> reply_;
+  std::unique_ptr<dispatch::Reply> reply_;
 };
 
 }  // namespace
 
-std::unique_ptr<Client> client(std::unique_ptr<Reply> reply) {
+std::unique_ptr<dispatch::Client> client(std::unique_ptr<dispatch::Reply> reply) {
   return std::make_unique<PlatformClient>(std::move(reply));
 }
 
@@ -58,4 +60,4 @@
   return text;
 }
 
-}  // namespace cairnhub::broker::relay
+}  // namespace cairnhub::frontend::platform
--- a/src/fronts/platform/relay.h
+++ b/src/frontend/platform/response_writer.h
@@ -4,12 +4,12 @@
 #include <memory>
 #include <string>
 
-#include "broker/query.h"
+#include "dispatch/query.h"
 
-namespace cairnhub::broker::relay {
+namespace cairnhub::frontend::platform {
 
-std::unique_ptr<Client> client(std::unique_ptr<Reply> reply);
+std::unique_ptr<dispatch::Client> client(std::unique_ptr<dispatch::Reply> reply);
 
 std::string come_back_text(Time come_back);  // seconds; empty where there is no advice
 
-}  // namespace cairnhub::broker::relay
+}  // namespace cairnhub::frontend::platform
--- a/src/fronts/two_phase/front.cpp
+++ b/src/frontend/two_phase/two_phase_frontend.cpp
@@ -1,26 +1,26 @@
-#include "fronts/two_phase/front.h"
+#include "frontend/two_phase/two_phase_frontend.h"
 
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-#include "fronts/platform/relay.h"
+#include "frontend/platform/response_writer.h"
 
-namespace cairnhub::fronts::two_phase {
+namespace cairnhub::frontend::two_phase {
 
 namespace {
 
 using nlohmann::ordered_json;
 
-ordered_json phase(const phases::Report::Phase& p) {
+ordered_json phase(const cairnhub::two_phase::Report::Phase& p) {
   return {{"asked", p.asked}, {"answered", p.answered}, {"missing", p.missing}, {"whole", p.whole}};
 }
 
 // The client of one two-phase multiget: what came of it, in JSON. Details go in as the bytes that hosts gave.
-class Waiting : public broker::PhasedClient {
+class Waiting : public dispatch::PhasedClient {
  public:
-  explicit Waiting(std::unique_ptr<broker::Reply> reply) : reply_(std::move(reply)) {}
-  void answered(const phases::Plan& plan, bool whole) override {
-    const phases::Report r = plan.report();
+  explicit Waiting(std::unique_ptr<dispatch::Reply> reply) : reply_(std::move(reply)) {}
+  void answered(const cairnhub::two_phase::Plan& plan, bool whole) override {
+    const cairnhub::two_phase::Report r = plan.report();
     ordered_json head{{"whole", whole}, {"why", r.why}, {"match", phase(r.match)}, {"fetch", phase(r.fetch)}};
     head["match"]["blocks"] = r.blocks;
     head["match"]["pruned"] = r.pruned;
@@ -44,11 +44,11 @@
     reply_->answer(200, "", body + "]}");
   }
   void pushed_back(Time come_back) override {
-    reply_->answer(503, broker::relay::come_back_text(come_back), "not now; trying again is harmless\n");
+    reply_->answer(503, frontend::platform::come_back_text(come_back), "not now; trying again is harmless\n");
   }
 
  private:
-  std::unique_ptr<broker::Reply> reply_;
+  std::unique_ptr<dispatch::Reply> reply_;
 };
 
 // Milliseconds, decimals allowed.
@@ -60,8 +60,8 @@
 
 }  // namespace
 
-std::string read_body(std::string_view text, const broker::Admit& admit, broker::Query& parts,
-                      phases::Query& into) {
+std::string read_body(std::string_view text, const frontend::platform::Admit& admit, dispatch::Query& parts,
+                      cairnhub::two_phase::Query& into) {
   const auto body = nlohmann::json::parse(text, nullptr, false);
   if (!body.is_object()) return "the body is not a JSON object";
   bool asks = false;
@@ -87,14 +87,15 @@
   return "";
 }
 
-std::function<void()> Front::take(const broker::Asked& said, std::unique_ptr<broker::Reply> reply) {
-  broker::Asked asked = said;
+std::function<void()> Front::take(const frontend::platform::Asked& said,
+                                  std::unique_ptr<dispatch::Reply> reply) {
+  frontend::platform::Asked asked = said;
   asked.op_type = said.path.substr(kPath.size());
   if (said.method != "POST") return reply->answer(405, "", "only POST here\n"), nullptr;
-  broker::Query head;
-  phases::Query query;
+  dispatch::Query head;
+  cairnhub::two_phase::Query query;
   if (const char* wrong = admit_.read_head(asked, head)) {
-    reply->answer(broker::Admit::status_of(wrong), "", std::string(wrong) + "\n");
+    reply->answer(frontend::platform::Admit::status_of(wrong), "", std::string(wrong) + "\n");
   } else if (!phased_.allowed(head.op_type)) {
     reply->answer(403, "", "two-phase multigets of this op type are not allowed\n");
   } else if (phased_.holds(head.name)) {
@@ -111,4 +112,4 @@
   return nullptr;
 }
 
-}  // namespace cairnhub::fronts::two_phase
+}  // namespace cairnhub::frontend::two_phase
--- a/src/upkeep/codec.cpp
+++ b/src/maintenance/job_codec.cpp
@@ -1,11 +1,11 @@
-#include "upkeep/codec.h"
+#include "maintenance/job_codec.h"
 
-#include "upkeep.pb.h"
+#include "maintenance.pb.h"
 
-namespace cairnhub::upkeep {
+namespace cairnhub::maintenance {
 
 std::string encode(const Message& m) {
-  wire::Packet p;
+  upkeep::wire::Packet p;
   if (m.clear) {
     p.mutable_outs()->set_low(m.clear->low);
     for (const auto& [node, sends] : m.clear->out) {
@@ -18,7 +18,7 @@
 }
 
 std::optional<Message> decode(std::string_view bytes) {
-  wire::Packet p;
+  upkeep::wire::Packet p;
   if (!p.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return std::nullopt;
   Message m;
   if (p.has_outs()) {
@@ -34,4 +34,4 @@
   return m;
 }
 
-}  // namespace cairnhub::upkeep
+}  // namespace cairnhub::maintenance
--- a/src/upkeep/codec.h
+++ b/src/maintenance/job_codec.h
@@ -4,9 +4,9 @@
 #include <string>
 #include <string_view>
 
-#include "upkeep/conduct.h"
+#include "maintenance/maintenance_controller.h"
 
-namespace cairnhub::upkeep {
+namespace cairnhub::maintenance {
 
 struct Message {
   std::optional<Clear> clear;
@@ -15,4 +15,4 @@
 std::string encode(const Message& message);
 std::optional<Message> decode(std::string_view bytes);
 
-}  // namespace cairnhub::upkeep
+}  // namespace cairnhub::maintenance
--- a/src/upkeep/works.cpp
+++ b/src/maintenance/job_queue.cpp
@@ -1,14 +1,14 @@
-#include "upkeep/works.h"
+#include "maintenance/job_queue.h"
 
 #include <google/protobuf/text_format.h>
 
 #include <algorithm>
 
 #include "base/first_error.h"
-#include "upkeep.pb.h"
-#include "upkeep/plan.h"
+#include "maintenance.pb.h"
+#include "maintenance/job_scheduler.h"
 
-namespace cairnhub::upkeep {
+namespace cairnhub::maintenance {
 
 namespace {
 
@@ -19,7 +19,7 @@
 
 std::string said(std::int64_t n) { return std::to_string(n); }
 
-void put(const Request& r, wire::Request& w) {
+void put(const Request& r, upkeep::wire::Request& w) {
   w.set_machine(r.machine);
   for (const auto& n : r.nodes) w.add_node(n);
   for (const auto& b : r.brokers) w.add_broker(b);
@@ -38,7 +38,7 @@
 constexpr std::int64_t kTimeMost = 4'000'000'000'000, kLengthMost = 31LL * 86'400'000;  // ms
 Time moment(std::int64_t ms) { return std::clamp<std::int64_t>(ms, 0, kTimeMost) * kMs; }
 
-Request take(const wire::Request& w) {
+Request take(const upkeep::wire::Request& w) {
   Request r;
   r.machine = w.machine();
   r.nodes = {w.node().begin(), w.node().end()};
@@ -52,7 +52,7 @@
   return r;
 }
 
-void put(const Facts& f, wire::Facts& w) {
+void put(const Facts& f, upkeep::wire::Facts& w) {
   w.set_revision(f.revision), w.set_cells(f.cells), w.set_width(f.width);
   auto& t = *w.mutable_terms();
   t.set_holders_least(f.terms.holders_least), t.set_at_once(f.terms.at_once), t.set_a_rack(f.terms.a_rack);
@@ -71,7 +71,7 @@
   for (const auto& v : f.voters) w.add_voter(v);
 }
 
-std::optional<Facts> take(const wire::Facts& w) {
+std::optional<Facts> take(const upkeep::wire::Facts& w) {
   Facts f;
   if (w.cells() < 0 || w.cells() > 65536 || w.width() < 0 || w.width() > w.cells()) return std::nullopt;
   if (w.node_size() > static_cast<int>(Works::kNodes)) return std::nullopt;
@@ -147,7 +147,7 @@
 }
 
 std::string encode(const Op& op) {
-  wire::Op w;
+  upkeep::wire::Op w;
   w.set_at_ms(op.at / kMs);
   if (op.request) put(*op.request, *w.mutable_request());
   if (op.facts) put(*op.facts, *w.mutable_facts());
@@ -168,7 +168,7 @@
 }
 
 std::optional<Op> decode_op(const std::string& text) {
-  wire::Op w;
+  upkeep::wire::Op w;
   google::protobuf::TextFormat::Parser parser;
   FirstError error;
   parser.RecordErrorsTo(&error);
@@ -188,11 +188,12 @@
   return op;
 }
 
-accord::Verdict Works::apply(const accord::Entry& e, std::shared_ptr<const accord::Board>& next) const {
+shared_config::Verdict Works::apply(const shared_config::Entry& e,
+                                    std::shared_ptr<const shared_config::Board>& next) const {
   const auto op = decode_op(e.text);
   if (!op) return {0, "an entry on works that can't be read"};
   auto made = std::make_shared<Works>(*this);
-  accord::Verdict v;
+  shared_config::Verdict v;
   if (op->request) {
     v = made->request(e, *op);
   } else if (op->facts) {
@@ -222,7 +223,7 @@
       ++it;
 }
 
-accord::Verdict Works::request(const accord::Entry& e, const Op& op) {
+shared_config::Verdict Works::request(const shared_config::Entry& e, const Op& op) {
   const Request& r = *op.request;
   if (!good(r.machine)) return {0, "machine is missing or no name"};
   if (r.nodes.empty() && r.brokers.empty()) return {0, "a machine carries at least one node or broker"};
@@ -280,7 +281,7 @@
   return {w.number, ""};
 }
 
-accord::Verdict Works::step(const accord::Entry& e, const Op& op) {
+shared_config::Verdict Works::step(const shared_config::Entry& e, const Op& op) {
   const auto it = works_.find(op.step->work);
   if (it == works_.end()) return {0, "no such work"};
   Work& w = it->second;
@@ -296,7 +297,7 @@
   return {w.number, ""};
 }
 
-accord::Verdict Works::operators(const accord::Entry& e, const Op& op) {
+shared_config::Verdict Works::operators(const shared_config::Entry& e, const Op& op) {
   const auto named = op.hold     ? *op.hold
                      : op.resume ? *op.resume
                      : op.cancel ? *op.cancel
@@ -488,7 +489,7 @@
 }
 
 std::string Works::snapshot() const {
-  wire::State s;
+  upkeep::wire::State s;
   s.set_last(last_), s.set_held(held_);
   for (const auto& [n, w] : works_) {
     auto& o = *s.add_work();
@@ -501,8 +502,8 @@
   return s.SerializeAsString();
 }
 
-std::shared_ptr<const accord::Board> Works::restore(std::string_view bytes) const {
-  wire::State s;
+std::shared_ptr<const shared_config::Board> Works::restore(std::string_view bytes) const {
+  upkeep::wire::State s;
   if (!s.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return nullptr;
   auto made = std::make_shared<Works>();
   made->last_ = s.last(), made->held_ = s.held();
@@ -518,4 +519,4 @@
   return made;
 }
 
-}  // namespace cairnhub::upkeep
+}  // namespace cairnhub::maintenance
--- a/src/upkeep/works.h
+++ b/src/maintenance/job_queue.h
@@ -18,10 +18,10 @@
 #include <string_view>
 #include <vector>
 
-#include "accord/versions.h"
 #include "base/time.h"
+#include "shared_config/version_history.h"
 
-namespace cairnhub::upkeep {
+namespace cairnhub::maintenance {
 
 constexpr Time kMs = kSecond / 1000;
 
@@ -104,12 +104,12 @@
 std::string encode(const Op& op);  // text
 std::optional<Op> decode_op(const std::string& text);
 
-class Works : public accord::Board {
+class Works : public shared_config::Board {
  public:
-  accord::Verdict apply(const accord::Entry& entry,
-                        std::shared_ptr<const accord::Board>& next) const override;
+  shared_config::Verdict apply(const shared_config::Entry& entry,
+                               std::shared_ptr<const shared_config::Board>& next) const override;
   std::string snapshot() const override;
-  std::shared_ptr<const accord::Board> restore(std::string_view bytes) const override;
+  std::shared_ptr<const shared_config::Board> restore(std::string_view bytes) const override;
 
   const std::map<std::uint64_t, Work>& all() const { return works_; }
   const Facts& facts() const { return facts_; }
@@ -139,9 +139,9 @@
   static constexpr std::size_t kOpen = 2000, kEnded = 256, kNodes = 4096;
 
  private:
-  accord::Verdict request(const accord::Entry& e, const Op& op);
-  accord::Verdict step(const accord::Entry& e, const Op& op);
-  accord::Verdict operators(const accord::Entry& e, const Op& op);
+  shared_config::Verdict request(const shared_config::Entry& e, const Op& op);
+  shared_config::Verdict step(const shared_config::Entry& e, const Op& op);
+  shared_config::Verdict operators(const shared_config::Entry& e, const Op& op);
   void to(Work& work, Step step, Time at, const std::string& why);
   void forget_old();
   bool holds(const NodeFact& node, int shard) const;
@@ -153,4 +153,4 @@
   Time facts_at_ = 0;
 };
 
-}  // namespace cairnhub::upkeep
+}  // namespace cairnhub::maintenance
--- a/src/upkeep/plan.cpp
+++ b/src/maintenance/job_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "upkeep/plan.h"
+#include "maintenance/job_scheduler.h"
 
 #include <algorithm>
 #include <map>
@@ -8,7 +8,7 @@
 
 #include "base/random_source.h"
 
-namespace cairnhub::upkeep {
+namespace cairnhub::maintenance {
 
 namespace {
 
@@ -235,4 +235,4 @@
   return out;
 }
 
-}  // namespace cairnhub::upkeep
+}  // namespace cairnhub::maintenance
--- a/src/upkeep/plan.h
+++ b/src/maintenance/job_scheduler.h
@@ -12,9 +12,9 @@
 #include <string>
 #include <vector>
 
-#include "upkeep/works.h"
+#include "maintenance/job_queue.h"
 
-namespace cairnhub::upkeep {
+namespace cairnhub::maintenance {
 
 // A work as the schedule sees it.
 struct Job {
@@ -52,4 +52,4 @@
 std::vector<Planned> plan(const Works& works, Time now, const Request* further = nullptr,
                           const std::set<std::uint64_t>& passed = {});
 
-}  // namespace cairnhub::upkeep
+}  // namespace cairnhub::maintenance
--- a/src/upkeep/conduct.cpp
+++ b/src/maintenance/maintenance_controller.cpp
@@ -1,9 +1,9 @@
-#include "upkeep/conduct.h"
+#include "maintenance/maintenance_controller.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace cairnhub::upkeep {
+namespace cairnhub::maintenance {
 
 namespace {
 
@@ -17,15 +17,15 @@
   return std::any_of(names.begin(), names.end(), [&](const auto& n) { return all.count(n) != 0; });
 }
 std::string rules_with(const std::set<std::string>& nodes) {
-  accord::Rules r;
+  shared_config::Rules r;
   r.at_work = nodes;
-  return accord::text_of(r);
+  return shared_config::text_of(r);
 }
 
 }  // namespace
 
 void Conduct::heard(Time now, const std::string& from, Clear clear) {
-  if (clears_.size() >= accord::Versions::kRoster && !clears_.count(from)) return;
+  if (clears_.size() >= shared_config::Versions::kRoster && !clears_.count(from)) return;
   clear.at = now;
   clears_[from] = std::move(clear);
 }
@@ -47,15 +47,16 @@
   }
 }
 
-accord::Entry Conduct::entry(accord::Entry::Kind kind, Time now, const std::string& why) {
-  accord::Entry e;
+shared_config::Entry Conduct::entry(shared_config::Entry::Kind kind, Time now, const std::string& why) {
+  shared_config::Entry e;
   e.kind = kind, e.who = "upkeep", e.why = why.substr(0, 256);
-  e.id = "upkeep-" + accord::hash_of(self_ + " " + std::to_string(now) + " " + std::to_string(++said_));
+  e.id =
+      "upkeep-" + shared_config::hash_of(self_ + " " + std::to_string(now) + " " + std::to_string(++said_));
   return e;
 }
 
-accord::Entry Conduct::move(Time now, Time wall, const Work& w, Step to, const std::string& why) {
-  accord::Entry e = entry(accord::Entry::Kind::board, now, why);
+shared_config::Entry Conduct::move(Time now, Time wall, const Work& w, Step to, const std::string& why) {
+  shared_config::Entry e = entry(shared_config::Entry::Kind::board, now, why);
   Op op;
   op.at = wall, op.step = Op::Move{w.number, w.step, to};
   e.text = encode(op);
@@ -84,8 +85,8 @@
   return !(like == said);
 }
 
-std::optional<accord::Entry> Conduct::lead(Time now, Time wall, const accord::Versions& book,
-                                           const Seen& seen) {
+std::optional<shared_config::Entry> Conduct::lead(Time now, Time wall, const shared_config::Versions& book,
+                                                  const Seen& seen) {
   const auto* works = dynamic_cast<const Works*>(book.board().get());
   if (!works || out_) return std::nullopt;
   waits_.clear(), stand_down_.clear();
@@ -94,10 +95,10 @@
     return it == works->all().end() || !it->second.takes_out();
   });
   std::erase_if(seen_at_, [&](const auto& w) { return works->all().count(w.first) == 0; });
-  std::optional<accord::Entry> e;
+  std::optional<shared_config::Entry> e;
   if (now >= facts_next_ && worth_saying(works->facts(), seen.facts)) {
     facts_next_ = now + terms_.facts_every;
-    e = entry(accord::Entry::Kind::board, now, "what is seen");
+    e = entry(shared_config::Entry::Kind::board, now, "what is seen");
     Op op;
     op.at = wall, op.facts = seen.facts;
     e->text = encode(op);
@@ -113,7 +114,8 @@
 }
 
 // Ground and version follow the works: narrower first in the ground, wider first in the version.
-std::optional<accord::Entry> Conduct::withhold(Time now, const accord::Versions& book, const Works& works) {
+std::optional<shared_config::Entry> Conduct::withhold(Time now, const shared_config::Versions& book,
+                                                      const Works& works) {
   const std::set<std::string> wanted = works.out_nodes(), before = works.withheld_beforehand();
   const auto& ground = book.ground().rules->at_work;
   const auto& newest = book.all().rbegin()->second.rules->at_work;
@@ -124,19 +126,19 @@
   if (!within(before, ground) && !book.ground_next()) {  // else it is being taken up
     std::set<std::string> both = ground;
     both.insert(before.begin(), before.end());
-    accord::Entry e = entry(accord::Entry::Kind::ground_works, now, "machines are taken out");
+    shared_config::Entry e = entry(shared_config::Entry::Kind::ground_works, now, "machines are taken out");
     e.base = book.ground_works_from(), e.text = rules_with(both);
     return e;
   }
   if (newest != wanted && within(wanted, ground)) {
-    accord::Entry e = entry(accord::Entry::Kind::propose_works, now, "machines at work");
+    shared_config::Entry e = entry(shared_config::Entry::Kind::propose_works, now, "machines at work");
     e.base = book.works_from(), e.text = rules_with(wanted);
     return e;
   }
   // Danger: the version that brings a node back is not in force yet, and the ground would go beyond the one
   // that is.
   if (ground != before && newest == wanted && force == wanted && !book.ground_next()) {
-    accord::Entry e = entry(accord::Entry::Kind::ground_works, now, "machines are back");
+    shared_config::Entry e = entry(shared_config::Entry::Kind::ground_works, now, "machines are back");
     e.base = book.ground_works_from(), e.text = rules_with(before);
     return e;
   }
@@ -144,7 +146,8 @@
 }
 
 // Who may still have something out at its nodes, or bring something there; empty: nobody.
-std::string Conduct::not_clear(Time now, const Work& w, const accord::Versions& book, const Seen& seen) {
+std::string Conduct::not_clear(Time now, const Work& w, const shared_config::Versions& book,
+                               const Seen& seen) {
   if (w.request.nodes.empty()) return "";  // its brokers leave, which is looked at by itself
   const auto& ground = book.ground().rules->at_work;
   const auto& force = book.at(book.in_force())->rules->at_work;
@@ -167,7 +170,7 @@
     bool clear = false;
     if (live || broker == self_) {
       // It must have said so itself, under a version without the nodes, since that is in force.
-      const accord::Version* acted = c == clears_.end() ? nullptr : book.at(c->second.low);
+      const shared_config::Version* acted = c == clears_.end() ? nullptr : book.at(c->second.low);
       clear = c != clears_.end() && c->second.at >= since && acted &&
               holds_all(acted->rules->at_work, w.request.nodes) &&
               std::all_of(w.request.nodes.begin(), w.request.nodes.end(), [&](const auto& node) {
@@ -191,9 +194,9 @@
          now >= seen_at_.at(w.number).since + facts.terms.lost_after;
 }
 
-std::optional<accord::Entry> Conduct::advance(Time now, Time wall, const accord::Versions& book,
-                                              const Works& works, const Seen& seen) {
-  std::optional<accord::Entry> due;
+std::optional<shared_config::Entry> Conduct::advance(Time now, Time wall, const shared_config::Versions& book,
+                                                     const Works& works, const Seen& seen) {
+  std::optional<shared_config::Entry> due;
   const auto say = [&](const Work& w, Step to, const std::string& why) {
     if (!due) due = move(now, wall, w, to, why);
   };
@@ -289,9 +292,9 @@
   return due;
 }
 
-std::optional<accord::Entry> Conduct::begin(Time now, Time wall,
-                                            const std::shared_ptr<const accord::Board>& board,
-                                            const Works& works) {
+std::optional<shared_config::Entry> Conduct::begin(Time now, Time wall,
+                                                   const std::shared_ptr<const shared_config::Board>& board,
+                                                   const Works& works) {
   for (const auto& [n, w] : works.all())
     if (w.step == Step::queued && w.request.emergency && !w.held)
       return move(now, wall, w, Step::draining, "emergency");
@@ -330,4 +333,4 @@
   return std::nullopt;
 }
 
-}  // namespace cairnhub::upkeep
+}  // namespace cairnhub::maintenance
--- a/src/options/options.cpp
+++ b/src/options/options.cpp
@@ -54,7 +54,7 @@
   out.line = at.line;
   out.name = m.name();
   if (out.name.empty()) at.complain("name", "is missing; allowed is the name of an op type");
-  phases::Terms& t = out.terms;
+  two_phase::Terms& t = out.terms;
   t.match_share = at.within("match_share", m.match_share(), 0.05, 0.95);
   t.shortest_fetch = ms(at.within("shortest_fetch_ms", m.shortest_fetch_ms(), 1U, 60000U));
   t.spare = ms(at.within("spare_ms", m.spare_ms(), 0U, 10000U));
@@ -349,7 +349,7 @@
     if (op.idempotency != Idempotency::kIdempotent)
       complain("is '" + p.name + "', which is not retriable; allowed is an op type that may be asked again");
     Phased& mine = out.emplace_back(Phased{static_cast<int>(i), op, p.terms});
-    phases::Terms& t = mine.terms;
+    two_phase::Terms& t = mine.terms;
     t.need = op.required_share, t.least = op.min_answer_share;
     t.partial = op.min_answer_share < op.required_share && op.partial_value_share > 0;
     t.latency_budget = op.latency_objective, t.late_earns = op.late_value_share > 0;
--- a/src/options/options.h
+++ b/src/options/options.h
@@ -7,14 +7,14 @@
 #include <utility>
 #include <vector>
 
-#include "phases/plan.h"
 #include "settings/settings.h"
+#include "two_phase/query_plan.h"
 
 namespace cairnhub::options {
 
 struct PhasedOpType {
   std::string name;
-  phases::Terms terms;  // need, least and budgets come from the platform's settings
+  two_phase::Terms terms;  // need, least and budgets come from the platform's settings
   int line = 0;
 };
 
@@ -97,7 +97,7 @@
 struct Phased {
   int op_type;
   RequestClass op;
-  phases::Terms terms;
+  two_phase::Terms terms;
 };
 std::vector<Phased> resolve(const Options& options, const settings::Settings& settings);
 
--- a/src/server/broker.cpp
+++ b/src/server/broker.cpp
@@ -5,15 +5,15 @@
 #include <algorithm>
 #include <unordered_map>
 
+#include "backend/framed/framed_client.h"
+#include "backend/opensearch/search_client.h"
 #include "base/clock.h"
-#include "broker/phased.h"
-#include "broker/watch.h"
-#include "fronts/http/take_in.h"
-#include "fronts/platform/admit.h"
-#include "hosts/frames/sender.h"
-#include "hosts/search/searcher.h"
+#include "dispatch/discovery_watch.h"
+#include "dispatch/two_phase_runner.h"
+#include "frontend/http/http_server.h"
+#include "frontend/platform/request_parser.h"
 
-namespace cairnhub::broker {
+namespace cairnhub::server {
 
 namespace {
 
@@ -30,24 +30,25 @@
 // Of the memory, what requests that aren't whole yet may take.
 constexpr std::size_t kUnfinishedShare = 8;
 
-SendLimits send_limits(const Config& c) {
+backend::SendLimits send_limits(const dispatch::Config& c) {
   const auto& s = c.settings;
   const Time idle = static_cast<Time>(kIdleShare * static_cast<double>(s.span("ceilings.keepalive", 10)));
   return {std::max(1, s.whole("ceilings.multiplex", 1)), std::max(1, s.whole("family-info.parts-a-call", 1)),
           s.span("ceilings.connect-timeout", 1), idle, (c.descriptors - kOwnDescriptors) / kNodeShare};
 }
-SearchLimits search_limits(const Config& c, const Extras& extras) {
-  const SendLimits frames = send_limits(c);
+backend::SearchLimits search_limits(const dispatch::Config& c, const Extras& extras) {
+  const backend::SendLimits frames = send_limits(c);
   return {static_cast<std::size_t>(frames.calls_a_connection), frames.connections, extras.search_body_most,
           frames.idle_at_most};
 }
 // Of the memory, what an answer of discovery may take as text; read, it takes several times that.
 constexpr std::size_t kLargestList = std::size_t{4} << 20, kListShare = 32;
 // Where the list must be subscribed to, each call loads a service that all brokers share.
-WatchTiming watch_timing(const settings::Settings& s) {
-  return s.text("registry-mode", "automatic") == "subscribe" ? WatchTiming::polled() : WatchTiming::pushed();
+dispatch::WatchTiming watch_timing(const settings::Settings& s) {
+  return s.text("registry-mode", "automatic") == "subscribe" ? dispatch::WatchTiming::polled()
+                                                             : dispatch::WatchTiming::pushed();
 }
-int pause_at(const Config& c) {
+int pause_at(const dispatch::Config& c) {
   return static_cast<int>(c.descriptors - kOwnDescriptors / 2 -
                           (c.descriptors - kOwnDescriptors) / kNodeShare);
 }
@@ -57,33 +58,34 @@
 struct Broker::Stages {
   const int op_types;  // of the settings
   RequestPolicy policy;
-  Book book;
-  Sender sender;
-  Searcher searcher;
-  MixedHosts hosts;
-  Route route;
-  Phased phased;
-  Members members;
-  Admit admit;
-  Watch watch;
-  TakeIn take_in;
-  Config in_force;
+  dispatch::Book book;
+  backend::Sender sender;
+  backend::Searcher searcher;
+  backend::MixedHosts hosts;
+  dispatch::Route route;
+  dispatch::Phased phased;
+  dispatch::Members members;
+  frontend::platform::Admit admit;
+  dispatch::Watch watch;
+  frontend::TakeIn take_in;
+  dispatch::Config in_force;
   std::function<void()> done;
   Timer closing;
   bool door_closed = false;
   int backlog_turns = 0;  // that the listener was kept open for
-  Common* common = nullptr;
+  dispatch::Common* common = nullptr;
   std::unordered_map<EndpointId, int> out;  // sends, where something is in common; looked up, never walked
 
-  Stages(event_base* base, const Config& c, const Extras& extras)
+  Stages(event_base* base, const dispatch::Config& c, const Extras& extras)
       : op_types(static_cast<int>(settings::op_types(c.settings).size())),
         policy(c.seed),
         book(policy, c.memory),
         sender(
-            base, send_limits(c), [this](Attempt& e, const Result& r) { ended(e, r); },
+            base, send_limits(c), [this](dispatch::Attempt& e, const dispatch::Result& r) { ended(e, r); },
             [this] { route.turn(); }),
         searcher(
-            base, search_limits(c, extras), [this](Attempt& e, const Result& r) { ended(e, r); },
+            base, search_limits(c, extras),
+            [this](dispatch::Attempt& e, const dispatch::Result& r) { ended(e, r); },
             [this] { route.turn(); }),
         hosts(sender, searcher),
         route(
@@ -95,7 +97,7 @@
             [this] { return phased.follow_up(); }, [this](EndpointId id) { return members.name_of(id); }),
         phased(base, policy, book, route, op_types),
         members(policy,
-                [this](EndpointId id, const Members::Entry& e) {
+                [this](EndpointId id, const dispatch::Members::Entry& e) {
                   hosts.flavored(id, e.flavor);
                   hosts.node(id, e.id, e.address, e.state);
                 }),
@@ -122,7 +124,7 @@
       members.hold(*extras.common);
       const Time come_back =
           c.settings.flag("ceilings.retry-after", false) ? c.settings.span("ceilings.max-retry-after", 0) : 0;
-      hosts.count([this](const Carried& c) { carried(c); });
+      hosts.count([this](const dispatch::Carried& c) { carried(c); });
       route.hold(*extras.common,
                  {[this] {
                     const auto& s = in_force.settings;
@@ -130,7 +132,7 @@
                                         s.flag("ceilings.second-copies", false) && common->second_copies(),
                                         s.flag("ceilings.cancel", false));
                     for (int i = 0; i < op_types; ++i) {
-                      const OpLimits& l = common->limits(i);
+                      const dispatch::OpLimits& l = common->limits(i);
                       policy.limit_request_class(i, l.budget_most, l.least);
                       phased.limit(i, l);
                     }
@@ -139,7 +141,7 @@
                     members.reconsider();
                   },
                   [this] { keep_near(); },
-                  [this](Attempt& e) {
+                  [this](dispatch::Attempt& e) {
                     e.account = {route.counted_as(e.part->query->op_type), members.zone_of(e.node), false};
                     ++out[e.node];
                     e.account.over_budget = common->sent(e.account.zone, e.account.op_type);
@@ -159,17 +161,17 @@
     watch.call();
   }
 
-  void ended(Attempt& e, const Result& r) {
+  void ended(dispatch::Attempt& e, const dispatch::Result& r) {
     // Danger: the book forgets a multiget with its last send, and the attempt with it.
     const EndpointId node = e.node;
     const Time latency = now() - e.sent_at;
-    const Account whose = e.account;
+    const dispatch::Account whose = e.account;
     const AttemptOutcome how = book.ended(e, r);
     if (!common) return;
     if (const auto it = out.find(node); it != out.end() && --it->second == 0) out.erase(it);
     common->ended(whose, node, how, latency);
   }
-  void carried(Carried c) {
+  void carried(dispatch::Carried c) {
     if (c.whose.zone < 0) c.whose.zone = members.zone_of(c.node);
     common->carried(c);
   }
@@ -198,15 +200,15 @@
   }
 };
 
-Broker::Broker(event_base* base, const Config& config, const Extras& extras)
+Broker::Broker(event_base* base, const dispatch::Config& config, const Extras& extras)
     : stages_(std::make_unique<Stages>(base, config, extras)) {}
 Broker::~Broker() = default;
 
-Admit& Broker::admit() { return stages_->admit; }
-Phased& Broker::phased() { return stages_->phased; }
-Book& Broker::book() { return stages_->book; }
-Route& Broker::route() { return stages_->route; }
-const Members& Broker::members() const { return stages_->members; }
+frontend::platform::Admit& Broker::admit() { return stages_->admit; }
+dispatch::Phased& Broker::phased() { return stages_->phased; }
+dispatch::Book& Broker::book() { return stages_->book; }
+dispatch::Route& Broker::route() { return stages_->route; }
+const dispatch::Members& Broker::members() const { return stages_->members; }
 void Broker::ask_agent() { stages_->watch.refresh(); }
 int Broker::clear(const std::string& node) {
   const EndpointId id = stages_->members.id_of(node);
@@ -217,10 +219,10 @@
   return 0;
 }
 void Broker::not_ready() { stages_->take_in.not_ready(); }
-void Broker::add(Front& front) { stages_->take_in.add(front); }
+void Broker::add(frontend::Front& front) { stages_->take_in.add(front); }
 
-void Broker::change(const Config& c) {
-  Config& had = stages_->in_force;
+void Broker::change(const dispatch::Config& c) {
+  dispatch::Config& had = stages_->in_force;
   if (c.listen != had.listen) log("config", "listen has changed; that takes a restart");
   if (c.memory != had.memory || c.descriptors != had.descriptors)
     log("config", "limits have changed; that takes a restart");
@@ -237,4 +239,4 @@
   stages_->closing.start(kStillComing);
 }
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::server
--- a/src/server/broker.h
+++ b/src/server/broker.h
@@ -5,26 +5,34 @@
 #include <string>
 #include <vector>
 
-#include "broker/common.h"
-#include "broker/config.h"
-#include "phases/plan.h"
+#include "dispatch/common.h"
+#include "dispatch/config.h"
+#include "two_phase/query_plan.h"
 
 struct event_base;
 
-namespace cairnhub::broker {
-
-class Admit;
+namespace cairnhub::dispatch {
 class Book;
 class Members;
+class Phased;
 class Route;
+}  // namespace cairnhub::dispatch
+
+namespace cairnhub::frontend {
 class Front;
-class Phased;
+}  // namespace cairnhub::frontend
+
+namespace cairnhub::frontend::platform {
+class Admit;
+}  // namespace cairnhub::frontend::platform
+
+namespace cairnhub::server {
 
 // An op type whose multigets may have two phases, with the operators' terms.
 struct TwoPhase {
   int op_type;
   RequestClass op;
-  phases::Terms terms;
+  two_phase::Terms terms;
 };
 
 // What operators' options add to the platform's settings.
@@ -32,28 +40,28 @@
   std::vector<TwoPhase> two_phase;
   std::string search_flavor;               // nodes of this flavor speak the search API; empty: none
   std::size_t search_body_most = 1 << 20;  // bytes of one of their answers
-  Common* common = nullptr;                // what is held in common with other brokers; it outlives this one
+  dispatch::Common* common = nullptr;      // what is held in common with other brokers; it outlives this one
 };
 
 class Broker {
  public:
   // Throws std::exception with one plain line where the configuration won't do.
-  Broker(event_base* base, const Config& config, const Extras& extras = {});
+  Broker(event_base* base, const dispatch::Config& config, const Extras& extras = {});
   ~Broker();
   // For fronts of further forms; one that is added must outlive the loop.
-  Admit& admit();
-  Phased& phased();
-  Book& book();
-  Route& route();
-  const Members& members() const;
-  void add(Front& front);
+  frontend::platform::Admit& admit();
+  dispatch::Phased& phased();
+  dispatch::Book& book();
+  dispatch::Route& route();
+  const dispatch::Members& members() const;
+  void add(frontend::Front& front);
   void ask_agent();  // for the whole list, at once
   // How many sends are out at a node that takes nothing new; where there are none, its connections are
   // closed.
   int clear(const std::string& node);
   void not_ready();  // whoever asks for its health is told to go elsewhere
   // Takes over what may change under way; logs what takes a restart.
-  void change(const Config& config);
+  void change(const dispatch::Config& config);
   // Goes on for as long as clients may still come, finishes what it has taken, then calls `done`. Once.
   void shut_down(std::function<void()> done);
 
@@ -62,4 +70,4 @@
   std::unique_ptr<Stages> stages_;
 };
 
-}  // namespace cairnhub::broker
+}  // namespace cairnhub::server
--- a/src/accord/store.h
+++ b/src/shared_config/durable_store.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace cairnhub::accord {
+namespace cairnhub::shared_config {
 
 struct LogEntry {
   std::uint64_t term = 0;
@@ -40,4 +40,4 @@
   virtual std::optional<Snapshot> snapshot() const = 0;
 };
 
-}  // namespace cairnhub::accord
+}  // namespace cairnhub::shared_config
--- a/src/accord/hearsay.cpp
+++ b/src/shared_config/endpoint_gossip.cpp
@@ -1,8 +1,8 @@
-#include "accord/hearsay.h"
+#include "shared_config/endpoint_gossip.h"
 
 #include <xxhash.h>
 
-namespace cairnhub::accord {
+namespace cairnhub::shared_config {
 
 namespace {
 
@@ -95,4 +95,4 @@
   return count;
 }
 
-}  // namespace cairnhub::accord
+}  // namespace cairnhub::shared_config
--- a/src/accord/hearsay.h
+++ b/src/shared_config/endpoint_gossip.h
@@ -15,7 +15,7 @@
 
 #include "base/time.h"
 
-namespace cairnhub::accord {
+namespace cairnhub::shared_config {
 
 struct Notice {
   std::string node;
@@ -65,4 +65,4 @@
   bool whole_ = false;
 };
 
-}  // namespace cairnhub::accord
+}  // namespace cairnhub::shared_config
--- a/src/accord/leases.cpp
+++ b/src/shared_config/leases.cpp
@@ -1,9 +1,9 @@
-#include "accord/leases.h"
+#include "shared_config/leases.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace cairnhub::accord {
+namespace cairnhub::shared_config {
 
 Holder::Holder(const LeaseTerms& terms, Rules ground, std::uint32_t life)
     : terms_(terms), sequence_(std::uint64_t{life} << 32) {
@@ -248,4 +248,4 @@
   return at == kNever ? now : at;
 }
 
-}  // namespace cairnhub::accord
+}  // namespace cairnhub::shared_config
--- a/src/accord/leases.h
+++ b/src/shared_config/leases.h
@@ -17,10 +17,10 @@
 #include <utility>
 #include <vector>
 
-#include "accord/versions.h"
 #include "base/time.h"
+#include "shared_config/version_history.h"
 
-namespace cairnhub::accord {
+namespace cairnhub::shared_config {
 
 struct LeaseTerms {
   Time stated = 2 * kSecond;  // no two act on contradicting versions for longer
@@ -168,4 +168,4 @@
   std::vector<Granted> granted_;
 };
 
-}  // namespace cairnhub::accord
+}  // namespace cairnhub::shared_config
--- a/src/accord/engine.cpp
+++ b/src/shared_config/raft_node.cpp
@@ -1,4 +1,4 @@
-#include "accord/engine.h"
+#include "shared_config/raft_node.h"
 
 #include <xxhash.h>
 
@@ -11,10 +11,10 @@
 #include <cstring>
 #include <deque>
 
-#include "accord.pb.h"
 #include "base/random_source.h"
+#include "shared_config.pb.h"
 
-namespace cairnhub::accord {
+namespace cairnhub::shared_config {
 
 namespace {
 
@@ -41,7 +41,7 @@
 
 // Who votes, in our own form; the library's is written into the log only.
 std::string encoded(const raft_configuration& c) {
-  wire::Voters all;
+  accord::wire::Voters all;
   for (unsigned k = 0; k < c.n; ++k) {
     auto* v = all.add_voter();
     v->set_id(c.servers[k].id);
@@ -52,7 +52,7 @@
 }
 
 bool decode_into(const std::string& bytes, raft_configuration& c) {
-  wire::Voters all;
+  accord::wire::Voters all;
   if (!all.ParseFromString(bytes)) return false;
   for (const auto& v : all.voter())
     if (raft_configuration_add(&c, v.id(), v.name().c_str(), static_cast<int>(v.role())) != 0) return false;
@@ -253,8 +253,8 @@
 
   void send(const raft_message& m) {
     if (failed) return;
-    wire::Packet packet;
-    wire::Raft& w = *packet.mutable_raft();
+    accord::wire::Packet packet;
+    accord::wire::Raft& w = *packet.mutable_raft();
     w.set_type(m.type);
     w.set_from(r.id);
     w.set_to(m.server_id);
@@ -305,7 +305,7 @@
     out.push_back({name_in(m.server_address), packet.SerializeAsString()});
   }
 
-  void receive(const std::string& from, const wire::Raft& w) {
+  void receive(const std::string& from, const accord::wire::Raft& w) {
     raft_message m{};
     m.type = static_cast<unsigned short>(w.type());
     m.server_id = w.from();
@@ -446,7 +446,7 @@
   m.settle();
 }
 
-void Engine::received(Time now, const std::string& from, const wire::Raft& w) {
+void Engine::received(Time now, const std::string& from, const accord::wire::Raft& w) {
   Impl& m = *impl_;
   if (!m.started || m.failed) return;
   m.now = now;
@@ -607,4 +607,4 @@
          store.append(had.first + had.entries.size(), {{had.term, RAFT_CHANGE, bytes}});
 }
 
-}  // namespace cairnhub::accord
+}  // namespace cairnhub::shared_config
--- a/src/accord/engine.h
+++ b/src/shared_config/raft_node.h
@@ -13,16 +13,16 @@
 #include <string_view>
 #include <vector>
 
-#include "accord/store.h"
-#include "accord/versions.h"
 #include "base/time.h"
+#include "shared_config/durable_store.h"
+#include "shared_config/version_history.h"
 
-namespace cairnhub::accord {
-
-namespace wire {
+namespace cairnhub::accord::wire {
 class Raft;
 }
 
+namespace cairnhub::shared_config {
+
 struct EngineTerms {
   Time election = 300 * kSecond / 1000;  // without a leader for this to twice this, one asks for votes
   Time heartbeat = 60 * kSecond / 1000;
@@ -52,7 +52,7 @@
 
   bool start(Time now);  // false: broken
   void tick(Time now);   // every terms.tick
-  void received(Time now, const std::string& from, const wire::Raft& message);
+  void received(Time now, const std::string& from, const accord::wire::Raft& message);
   struct Outgoing {
     std::string to;
     std::string bytes;
@@ -90,4 +90,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace cairnhub::accord
+}  // namespace cairnhub::shared_config
--- a/src/accord/rules.cpp
+++ b/src/shared_config/rule_set.cpp
@@ -1,4 +1,4 @@
-#include "accord/rules.h"
+#include "shared_config/rule_set.h"
 
 #include <google/protobuf/text_format.h>
 #include <sodium.h>
@@ -9,7 +9,7 @@
 #include "base/first_error.h"
 #include "rules.pb.h"
 
-namespace cairnhub::accord {
+namespace cairnhub::shared_config {
 
 namespace {
 
@@ -109,7 +109,7 @@
 Rules parse_rules(const std::string& text, const std::string& file) {
   const auto complain = [&](const std::string& what) { throw RulesError(file + ":" + what); };
   if (text.size() > kRulesTextMost) complain(" longer than 64 KiB");
-  rules::Rules m;
+  accord::rules::Rules m;
   google::protobuf::TextFormat::Parser parser;
   FirstError error;
   parser.RecordErrorsTo(&error);
@@ -186,7 +186,7 @@
 }
 
 std::string text_of(const Rules& rules) {
-  rules::Rules m;
+  accord::rules::Rules m;
   for (const auto& [name, r] : rules.op_types) {
     if (r == OpRule{}) continue;
     auto* o = m.add_op_type();
@@ -228,4 +228,4 @@
   return hex;
 }
 
-}  // namespace cairnhub::accord
+}  // namespace cairnhub::shared_config
--- a/src/accord/rules.h
+++ b/src/shared_config/rule_set.h
@@ -26,7 +26,7 @@
 
 #include "base/time.h"
 
-namespace cairnhub::accord {
+namespace cairnhub::shared_config {
 
 struct OpRule {
   bool served = true;
@@ -78,4 +78,4 @@
 
 constexpr std::size_t kRulesTextMost = 64 << 10;  // bytes
 
-}  // namespace cairnhub::accord
+}  // namespace cairnhub::shared_config
--- a/src/accord/accord.cpp
+++ b/src/shared_config/shared_config_node.cpp
@@ -1,11 +1,11 @@
-#include "accord/accord.h"
+#include "shared_config/shared_config_node.h"
 
 #include <algorithm>
 #include <iterator>
 
-#include "accord/wire.h"
+#include "shared_config/log_codec.h"
 
-namespace cairnhub::accord {
+namespace cairnhub::shared_config {
 
 namespace {
 
@@ -60,7 +60,7 @@
   turn(now);
 }
 
-void Accord::post(const std::string& to, const wire::Packet& packet) {
+void Accord::post(const std::string& to, const accord::wire::Packet& packet) {
   out_.push_back({to, packet.SerializeAsString()});
 }
 
@@ -88,7 +88,7 @@
   if (leader_ == self_ || ++unanswered_ > kGiveUpLeader) leader_.clear();
   const std::string to = leader_.empty() ? somewhere() : leader_;
   if (to.empty() || to == self_) return holder_.not_there(now);
-  wire::Packet p;
+  accord::wire::Packet p;
   auto& w = *p.mutable_ask();
   w.set_sequence(a.sequence), w.set_have(a.have), w.set_ground(a.ground);
   w.set_settled(a.settled), w.set_taken(a.taken);
@@ -113,7 +113,7 @@
 void Accord::confirm_round(Time now) {
   const auto round = leases_.round(now);
   if (!round) return;
-  wire::Packet p;
+  accord::wire::Packet p;
   p.mutable_confirm()->set_term(engine_->term());
   p.mutable_confirm()->set_round(*round);
   for (const auto& name : engine_->voting())
@@ -127,7 +127,7 @@
     holder_.answered(now, g);
     return;
   }
-  wire::Packet p;
+  accord::wire::Packet p;
   auto& w = *p.mutable_grant();
   w.set_sequence(g.sequence), w.set_low(g.low), w.set_high(g.high), w.set_term(g.term);
   for (const Version& v : g.versions) put(v, *w.add_version());
@@ -136,7 +136,7 @@
   post(to, p);
 }
 
-void Accord::received(Time now, const std::string& from, const wire::Packet& p) {
+void Accord::received(Time now, const std::string& from, const accord::wire::Packet& p) {
   if (!started_ || leaving_) return;
   if (p.has_raft() && engine_) engine_->received(now, from, p.raft());
   if (p.has_ask()) {
@@ -145,7 +145,7 @@
             {p.ask().sequence(), p.ask().taken(), p.ask().have(), p.ask().ground(), p.ask().settled(),
              p.ask().may_vote(), p.ask().bye(), p.ask().voter_id()});
     } else if (!p.ask().bye()) {
-      wire::Packet back;
+      accord::wire::Packet back;
       back.mutable_redirect()->set_sequence(p.ask().sequence());
       const std::string known = engine_ && !engine_->leader().empty() ? engine_->leader() : leader_;
       back.mutable_redirect()->set_leader(known == from ? "" : known);
@@ -181,7 +181,7 @@
     if (p.confirm().back()) {
       leases_.confirmed(now, from, p.confirm().term(), p.confirm().round(), engine_->versions());
     } else if (engine_->term() == p.confirm().term()) {
-      wire::Packet back = p;
+      accord::wire::Packet back = p;
       back.mutable_confirm()->set_back(true);
       post(from, back);
     }
@@ -191,14 +191,14 @@
     if (e && engine_ && engine_->leads()) {
       engine_->propose(now, *e, [this, from, id = e->id](const std::optional<Verdict>& v) {
         if (!v) return;  // it may or may not come in: the asker says it again
-        wire::Packet back;
+        accord::wire::Packet back;
         back.mutable_verdict()->set_id(id);
         back.mutable_verdict()->set_number(v->number);
         back.mutable_verdict()->set_refused(v->refused);
         post(from, back);
       });
     } else if (e) {
-      wire::Packet back;
+      accord::wire::Packet back;
       back.mutable_redirect()->set_leader(engine_ && engine_->leader() != from ? engine_->leader() : leader_);
       post(from, back);
     }
@@ -243,7 +243,7 @@
     if (engine_ && !engine_->leader().empty()) leader_ = engine_->leader();
     const std::string to = leader_.empty() || leader_ == self_ ? somewhere() : leader_;
     if (to.empty() || to == self_) continue;
-    wire::Packet packet;
+    accord::wire::Packet packet;
     packet.mutable_proposal()->set_entry(encode(p.entry));
     post(to, packet);
   }
@@ -282,7 +282,7 @@
   const std::uint64_t newest = book.newest() + book.in_force();
   if (newest != told_newest_ || ground != told_ground_) {
     told_newest_ = newest, told_ground_ = ground;
-    wire::Packet news;
+    accord::wire::Packet news;
     news.mutable_grant()->set_sequence(0);
     for (const auto& [name, held] : leases_.held())
       if (name != self_ && held.live(now)) post(name, news);
@@ -374,7 +374,7 @@
     leases_.gone(self_);
     engine_->hand_over(now);
   } else if (!leader_.empty()) {
-    wire::Packet p;
+    accord::wire::Packet p;
     p.mutable_ask()->set_bye(true);
     post(leader_, p);
   }
@@ -417,4 +417,4 @@
   return s;
 }
 
-}  // namespace cairnhub::accord
+}  // namespace cairnhub::shared_config
--- a/src/accord/accord.h
+++ b/src/shared_config/shared_config_node.h
@@ -15,16 +15,16 @@
 #include <string_view>
 #include <vector>
 
-#include "accord/engine.h"
-#include "accord/leases.h"
 #include "base/random_source.h"
+#include "shared_config/leases.h"
+#include "shared_config/raft_node.h"
 
-namespace cairnhub::accord {
-
-namespace wire {
+namespace cairnhub::accord::wire {
 class Packet;
 }
 
+namespace cairnhub::shared_config {
+
 struct Terms {
   LeaseTerms lease;
   EngineTerms engine;
@@ -57,7 +57,7 @@
   void start(Time now);
   void woken(Time now);
   Time wake() const;
-  void received(Time now, const std::string& from, const wire::Packet& packet);
+  void received(Time now, const std::string& from, const accord::wire::Packet& packet);
   struct Outgoing {
     std::string to;
     std::string bytes;  // a wire::Packet
@@ -96,7 +96,7 @@
     Done done;
     Time until, again;
   };
-  void post(const std::string& to, const wire::Packet& packet);
+  void post(const std::string& to, const accord::wire::Packet& packet);
   void turn(Time now);
   void lead(Time now);
   void ask(Time now);
@@ -127,4 +127,4 @@
   std::deque<Outgoing> out_;
 };
 
-}  // namespace cairnhub::accord
+}  // namespace cairnhub::shared_config
--- a/src/accord/kept.cpp
+++ b/src/shared_config/sqlite_store.cpp
@@ -1,4 +1,4 @@
-#include "accord/kept.h"
+#include "shared_config/sqlite_store.h"
 
 #include <sqlite3.h>
 #include <sys/stat.h>
@@ -9,7 +9,7 @@
 #include <cstring>
 #include <functional>
 
-namespace cairnhub::accord {
+namespace cairnhub::shared_config {
 
 namespace {
 
@@ -314,4 +314,4 @@
   throw KeptError(file + ": can't be used");
 }
 
-}  // namespace cairnhub::accord
+}  // namespace cairnhub::shared_config
--- a/src/accord/kept.h
+++ b/src/shared_config/sqlite_store.h
@@ -8,9 +8,9 @@
 #include <stdexcept>
 #include <string>
 
-#include "accord/store.h"
+#include "shared_config/durable_store.h"
 
-namespace cairnhub::accord {
+namespace cairnhub::shared_config {
 
 struct KeptError : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -26,4 +26,4 @@
   virtual bool ground(std::string& text, std::uint64_t& number) const = 0;
 };
 
-}  // namespace cairnhub::accord
+}  // namespace cairnhub::shared_config
--- a/src/accord/versions.cpp
+++ b/src/shared_config/version_history.cpp
@@ -1,10 +1,10 @@
-#include "accord/versions.h"
+#include "shared_config/version_history.h"
 
 #include <algorithm>
 
-#include "accord/wire.h"
+#include "shared_config/log_codec.h"
 
-namespace cairnhub::accord {
+namespace cairnhub::shared_config {
 
 namespace {
 
@@ -23,7 +23,7 @@
 }  // namespace
 
 std::string encode(const Entry& entry) {
-  wire::Entry e;
+  accord::wire::Entry e;
   e.set_kind(static_cast<std::uint32_t>(entry.kind));
   if (!entry.id.empty()) e.set_id(entry.id);
   if (entry.base) e.set_base(entry.base);
@@ -37,7 +37,7 @@
 }
 
 std::optional<Entry> decode_entry(std::string_view bytes) {
-  wire::Entry e;
+  accord::wire::Entry e;
   if (!e.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return std::nullopt;
   if (e.kind() < 1 || e.kind() > static_cast<std::uint32_t>(Entry::Kind::board)) return std::nullopt;
   if (e.rules().size() > kRulesTextMost || e.who().size() > 256 || e.why().size() > 1024 ||
@@ -205,7 +205,7 @@
 }
 
 std::string Versions::snapshot() const {
-  wire::State s;
+  accord::wire::State s;
   for (const auto& [n, v] : versions_) put(v, *s.add_version());
   s.set_in_force(in_force_);
   put(ground_, *s.mutable_ground());
@@ -223,7 +223,7 @@
 }
 
 bool Versions::restore(std::string_view bytes) {
-  wire::State s;
+  accord::wire::State s;
   if (!s.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return false;
   Versions read(board_);
   read.versions_.clear();
@@ -251,4 +251,4 @@
   return true;
 }
 
-}  // namespace cairnhub::accord
+}  // namespace cairnhub::shared_config
--- a/src/accord/versions.h
+++ b/src/shared_config/version_history.h
@@ -16,9 +16,9 @@
 #include <string>
 #include <string_view>
 
-#include "accord/rules.h"
+#include "shared_config/rule_set.h"
 
-namespace cairnhub::accord {
+namespace cairnhub::shared_config {
 
 struct Version {
   std::uint64_t number = 0;
@@ -123,4 +123,4 @@
   std::deque<std::pair<std::string, std::uint64_t>> seen_;
 };
 
-}  // namespace cairnhub::accord
+}  // namespace cairnhub::shared_config
--- a/src/wirehost/frame.cpp
+++ b/src/simulator_adapter/frame_codec.cpp
@@ -1,10 +1,10 @@
-#include "wirehost/frame.h"
+#include "simulator_adapter/frame_codec.h"
 
 #include <bit>
 #include <cmath>
 #include <cstring>
 
-namespace cairnhub::wire {
+namespace cairnhub::simulator_adapter {
 
 static_assert(std::endian::native == std::endian::little, "the wire is little-endian, read in place");
 
@@ -117,4 +117,4 @@
   return frame + records_ + tail_;
 }
 
-}  // namespace cairnhub::wire
+}  // namespace cairnhub::simulator_adapter
--- a/src/wirehost/frame.h
+++ b/src/simulator_adapter/frame_codec.h
@@ -9,7 +9,7 @@
 
 #include "base/time.h"
 
-namespace cairnhub::wire {
+namespace cairnhub::simulator_adapter {
 
 // What is malformed, named in one plain line.
 struct WireError : std::runtime_error {
@@ -75,4 +75,4 @@
   std::size_t count_ = 0;
 };
 
-}  // namespace cairnhub::wire
+}  // namespace cairnhub::simulator_adapter
--- a/src/wirehost/host.cpp
+++ b/src/simulator_adapter/simulator_host.cpp
@@ -1,11 +1,11 @@
-#include "wirehost/host.h"
+#include "simulator_adapter/simulator_host.h"
 
 #include <algorithm>
 #include <cmath>
 
 #include "settings/settings.h"
 
-namespace cairnhub::wire {
+namespace cairnhub::simulator_adapter {
 
 namespace {
 
@@ -227,4 +227,4 @@
   }
 }
 
-}  // namespace cairnhub::wire
+}  // namespace cairnhub::simulator_adapter
--- a/src/wirehost/host.h
+++ b/src/simulator_adapter/simulator_host.h
@@ -7,9 +7,9 @@
 #include <vector>
 
 #include "policy/request_policy.h"
-#include "wirehost/frame.h"
+#include "simulator_adapter/frame_codec.h"
 
-namespace cairnhub::wire {
+namespace cairnhub::simulator_adapter {
 
 class Host {
  public:
@@ -33,4 +33,4 @@
   std::size_t batches_ = 0;
 };
 
-}  // namespace cairnhub::wire
+}  // namespace cairnhub::simulator_adapter
--- a/src/phases/values.cpp
+++ b/src/two_phase/host_messages.cpp
@@ -1,10 +1,10 @@
-#include "phases/values.h"
+#include "two_phase/host_messages.h"
 
 #include <cmath>
 #include <limits>
 #include <nlohmann/json.hpp>
 
-namespace cairnhub::phases {
+namespace cairnhub::two_phase {
 
 namespace {
 
@@ -241,4 +241,4 @@
   return nullptr;
 }
 
-}  // namespace cairnhub::phases
+}  // namespace cairnhub::two_phase
--- a/src/phases/values.h
+++ b/src/two_phase/host_messages.h
@@ -17,7 +17,7 @@
 #include <string_view>
 #include <vector>
 
-namespace cairnhub::phases {
+namespace cairnhub::two_phase {
 
 constexpr std::size_t kLongestId = 128, kLongestVersion = 64;
 
@@ -60,4 +60,4 @@
 const char* read_details(std::string_view value, const std::set<std::string>& asked, std::string_view version,
                          Details& into);
 
-}  // namespace cairnhub::phases
+}  // namespace cairnhub::two_phase
--- a/src/phases/plan.cpp
+++ b/src/two_phase/query_plan.cpp
@@ -1,11 +1,11 @@
-#include "phases/plan.h"
+#include "two_phase/query_plan.h"
 
 #include <algorithm>
 #include <cmath>
 #include <nlohmann/json.hpp>
 #include <utility>
 
-namespace cairnhub::phases {
+namespace cairnhub::two_phase {
 
 namespace {
 
@@ -343,4 +343,4 @@
   return r;
 }
 
-}  // namespace cairnhub::phases
+}  // namespace cairnhub::two_phase
--- a/src/phases/plan.h
+++ b/src/two_phase/query_plan.h
@@ -17,11 +17,11 @@
 #include <string_view>
 #include <vector>
 
-#include "phases/ranking.h"
-#include "phases/split.h"
-#include "phases/values.h"
+#include "two_phase/host_messages.h"
+#include "two_phase/time_split.h"
+#include "two_phase/top_k_merge.h"
 
-namespace cairnhub::phases {
+namespace cairnhub::two_phase {
 
 // What the operator states of an op type.
 struct Terms {
@@ -210,4 +210,4 @@
   std::size_t bytes_ = 0;
 };
 
-}  // namespace cairnhub::phases
+}  // namespace cairnhub::two_phase
--- a/src/phases/split.cpp
+++ b/src/two_phase/time_split.cpp
@@ -1,10 +1,10 @@
-#include "phases/split.h"
+#include "two_phase/time_split.h"
 
 #include <algorithm>
 #include <bit>
 #include <vector>
 
-namespace cairnhub::phases {
+namespace cairnhub::two_phase {
 
 namespace {
 
@@ -62,4 +62,4 @@
   return known(finished_, blocks, 0.1).value_or(shortest_);
 }
 
-}  // namespace cairnhub::phases
+}  // namespace cairnhub::two_phase
--- a/src/phases/split.h
+++ b/src/two_phase/time_split.h
@@ -11,7 +11,7 @@
 
 #include "base/time.h"
 
-namespace cairnhub::phases {
+namespace cairnhub::two_phase {
 
 class Recent {
  public:
@@ -55,4 +55,4 @@
   std::array<Recent, kClasses> matches_, fetches_, finished_;
 };
 
-}  // namespace cairnhub::phases
+}  // namespace cairnhub::two_phase
--- a/src/phases/ranking.cpp
+++ b/src/two_phase/top_k_merge.cpp
@@ -1,8 +1,8 @@
-#include "phases/ranking.h"
+#include "two_phase/top_k_merge.h"
 
 #include <algorithm>
 
-namespace cairnhub::phases {
+namespace cairnhub::two_phase {
 
 namespace {
 
@@ -51,4 +51,4 @@
   return all;
 }
 
-}  // namespace cairnhub::phases
+}  // namespace cairnhub::two_phase
--- a/src/phases/ranking.h
+++ b/src/two_phase/top_k_merge.h
@@ -14,9 +14,9 @@
 #include <cstdint>
 #include <vector>
 
-#include "phases/values.h"
+#include "two_phase/host_messages.h"
 
-namespace cairnhub::phases {
+namespace cairnhub::two_phase {
 
 constexpr std::size_t kAll = SIZE_MAX;
 
@@ -39,4 +39,4 @@
 // The plain way, to compare with: all entries together, sorted. The same survivors.
 std::vector<Survivor> sort_all(const std::vector<const MatchList*>& lists, std::size_t limit);
 
-}  // namespace cairnhub::phases
+}  // namespace cairnhub::two_phase
--- a/src/zones/crossing.cpp
+++ b/src/zone_failover/cross_zone_budget.cpp
@@ -1,8 +1,8 @@
-#include "zones/crossing.h"
+#include "zone_failover/cross_zone_budget.h"
 
 #include <algorithm>
 
-namespace cairnhub::zones {
+namespace cairnhub::zone_failover {
 
 namespace {
 
@@ -72,4 +72,4 @@
           op.sends_out};
 }
 
-}  // namespace cairnhub::zones
+}  // namespace cairnhub::zone_failover
--- a/src/zones/crossing.h
+++ b/src/zone_failover/cross_zone_budget.h
@@ -15,7 +15,7 @@
 
 #include "base/time.h"
 
-namespace cairnhub::zones {
+namespace cairnhub::zone_failover {
 
 constexpr double kNoBudget = std::numeric_limits<double>::infinity();
 
@@ -61,4 +61,4 @@
   std::map<std::pair<int, int>, Carriage> table_;  // zones by number and op types of the settings: bounded
 };
 
-}  // namespace cairnhub::zones
+}  // namespace cairnhub::zone_failover
--- a/src/zones/course.cpp
+++ b/src/zone_failover/failover_state_machine.cpp
@@ -1,8 +1,8 @@
-#include "zones/course.h"
+#include "zone_failover/failover_state_machine.h"
 
 #include <algorithm>
 
-namespace cairnhub::zones {
+namespace cairnhub::zone_failover {
 
 const char* name_of(State s) {
   switch (s) {
@@ -106,4 +106,4 @@
          (begun_ ? "" : "b");
 }
 
-}  // namespace cairnhub::zones
+}  // namespace cairnhub::zone_failover
--- a/src/zones/course.h
+++ b/src/zone_failover/failover_state_machine.h
@@ -12,9 +12,9 @@
 #pragma once
 #include <string>
 
-#include "zones/evidence.h"
+#include "zone_failover/zone_health.h"
 
-namespace cairnhub::zones {
+namespace cairnhub::zone_failover {
 
 struct CourseTerms {
   Time confirm = kSecond;     // a look must last so long before anything follows from it
@@ -57,4 +57,4 @@
   bool begun_ = false;
 };
 
-}  // namespace cairnhub::zones
+}  // namespace cairnhub::zone_failover
--- a/src/zones/shares.cpp
+++ b/src/zone_failover/traffic_split.cpp
@@ -1,11 +1,11 @@
-#include "zones/shares.h"
+#include "zone_failover/traffic_split.h"
 
 #include <algorithm>
 #include <cmath>
 #include <map>
 #include <string>
 
-namespace cairnhub::zones {
+namespace cairnhub::zone_failover {
 
 Filled fill(const std::vector<Place>& places, const Cut& cut, const FillTerms& terms) {
   const std::size_t n = places.size();
@@ -109,4 +109,4 @@
   return out;
 }
 
-}  // namespace cairnhub::zones
+}  // namespace cairnhub::zone_failover
--- a/src/zones/shares.h
+++ b/src/zone_failover/traffic_split.h
@@ -13,9 +13,9 @@
 #include <utility>
 #include <vector>
 
-#include "accord/rules.h"
+#include "shared_config/rule_set.h"
 
-namespace cairnhub::zones {
+namespace cairnhub::zone_failover {
 
 struct Place {
   std::string zone, region;
@@ -30,7 +30,7 @@
 };
 
 struct Filled {
-  accord::ZoneShares shares;
+  shared_config::ZoneShares shares;
   std::map<std::pair<std::string, std::string>, double>
       flow;                            // parts a second planned, without the allowance
   std::map<std::string, double> left;  // parts a second of a zone's brokers that fit nowhere
@@ -44,4 +44,4 @@
 using Cut = std::set<std::pair<std::string, std::string>>;
 Filled fill(const std::vector<Place>& places, const Cut& cut, const FillTerms& terms);
 
-}  // namespace cairnhub::zones
+}  // namespace cairnhub::zone_failover
--- a/src/zones/zones.cpp
+++ b/src/zone_failover/zone_failover.cpp
@@ -1,10 +1,10 @@
-#include "zones/zones.h"
+#include "zone_failover/zone_failover.h"
 
 #include <algorithm>
 #include <cmath>
 #include <sstream>
 
-namespace cairnhub::zones {
+namespace cairnhub::zone_failover {
 
 namespace {
 
@@ -119,15 +119,15 @@
 }
 
 bool Zones::worth_it(Time now, const Had& had, const Note& note, const Filled& filled, std::string& why) {
-  const accord::ZoneShares& shares = filled.shares;
+  const shared_config::ZoneShares& shares = filled.shares;
   const auto differs = [&](const auto& now_is, const auto& was, const auto& views,
                            const std::string& before) {
     for (const auto& [name, one] : now_is) {
       const auto it = was.find(name);
       if (it != was.end() && it->second.state == one.state && it->second.share == one.share) continue;
-      why = before + name + " " + zones::name_of(one.state) + " at " + std::to_string(one.share);
+      why = before + name + " " + zone_failover::name_of(one.state) + " at " + std::to_string(one.share);
       const auto v = views.find(name);
-      if (const accord::Order* o = ordered(before + name))
+      if (const shared_config::Order* o = ordered(before + name))
         why += ": ordered by " + o->who + ", " + o->why;
       else if (v != views.end())
         why += ": " + v->second.why;
@@ -166,8 +166,8 @@
   return true;
 }
 
-std::optional<accord::Entry> Zones::lead(Time now, const accord::Versions& book) {
-  const accord::Version& newest = book.all().rbegin()->second;
+std::optional<shared_config::Entry> Zones::lead(Time now, const shared_config::Versions& book) {
+  const shared_config::Version& newest = book.all().rbegin()->second;
   Had had{parse_note(newest.note), newest.rules->zones};
   if (!led_) {
     // Danger: a new leader that took every zone for near would bring a dead one back at once.
@@ -189,7 +189,7 @@
   std::vector<Place> places;
   for (auto& [zone, course] : courses_) {
     const ZoneView& v = view_.zones[zone];
-    const accord::Order* o = ordered(zone);
+    const shared_config::Order* o = ordered(zone);
     course.tell(now, v.look, v.bears,
                 !o                  ? Ordered::none
                 : o->what == "hold" ? Ordered::hold
@@ -203,7 +203,7 @@
   }
   look_at_regions(now, places, newest_in_force, had.note, note);
   // No table without a ground that lies within every table.
-  accord::Entry e;
+  shared_config::Entry e;
   e.who = "zones";
   if (book.ground().rules->zones.otherwise > terms_.fill.ground) {
     if (book.ground_next() || (waits_ground_ == book.ground().number && now < waits_until_)) {
@@ -211,10 +211,10 @@
       return std::nullopt;
     }
     waits_ground_ = book.ground().number, waits_until_ = now + kAgain;
-    accord::Rules ground = *book.ground().rules;
-    ground.zones = accord::ZoneShares{terms_.fill.ground, {}};
-    e.kind = accord::Entry::Kind::propose_ground, e.base = book.ground().number;
-    e.text = accord::text_of(ground), e.why = "what zones may send each other without asking";
+    shared_config::Rules ground = *book.ground().rules;
+    ground.zones = shared_config::ZoneShares{terms_.fill.ground, {}};
+    e.kind = shared_config::Entry::Kind::propose_ground, e.base = book.ground().number;
+    e.text = shared_config::text_of(ground), e.why = "what zones may send each other without asking";
     e.id = fresh_id(now);
     return e;
   }
@@ -228,15 +228,15 @@
     return std::nullopt;  // what was proposed is on its way
   waits_on_ = newest.number, waits_until_ = now + kAgain;
   changed_at_ = now;
-  accord::Rules rules;
+  shared_config::Rules rules;
   rules.zones = filled.shares;
-  e.kind = accord::Entry::Kind::propose_zones, e.base = book.zones_from();
-  e.text = accord::text_of(rules), e.note = text_of(note), e.why = why_ = why.substr(0, 1000);
+  e.kind = shared_config::Entry::Kind::propose_zones, e.base = book.zones_from();
+  e.text = shared_config::text_of(rules), e.note = text_of(note), e.why = why_ = why.substr(0, 1000);
   e.id = fresh_id(now);
   return e;
 }
 
-const accord::Order* Zones::ordered(const std::string& name) const {
+const shared_config::Order* Zones::ordered(const std::string& name) const {
   auto it = ordered_.find(name);
   if (it == ordered_.end())  // an order for its region is one for it
     if (const auto z = stated_.find(name); z != stated_.end())
@@ -272,7 +272,7 @@
               " parts a second fit into none of its zones";
     else if (known > 0)
       v.look = Look::good, v.why = "its zones bear what its brokers ask for";
-    const accord::Order* o = ordered(region_key(region));
+    const shared_config::Order* o = ordered(region_key(region));
     course.tell(now, v.look, v.bears, o && o->what == "hold" ? Ordered::hold : Ordered::none,
                 newest_in_force && holds(had.regions, region, course));
     note.regions[region] = {course.state(), course.share()};
@@ -284,10 +284,11 @@
 }
 
 std::string Zones::fresh_id(Time now) {
-  return "zones-" + accord::hash_of(self_ + " " + std::to_string(now) + " " + std::to_string(++proposals_));
+  return "zones-" +
+         shared_config::hash_of(self_ + " " + std::to_string(now) + " " + std::to_string(++proposals_));
 }
 
-std::vector<ZoneLimit> Zones::limits(const accord::Rules& rules, const std::string* note) const {
+std::vector<ZoneLimit> Zones::limits(const shared_config::Rules& rules, const std::string* note) const {
   std::vector<ZoneLimit> all;
   const std::string& region = stated_.at(terms_.home)->region;
   double out = 0;
@@ -296,7 +297,7 @@
     l.is_other_region = stated_.at(zone)->region != region;
     if (zone != terms_.home) {
       // Where no table was made yet, no more than the ground will allow.
-      const bool none = rules.zones == accord::ZoneShares{};
+      const bool none = rules.zones == shared_config::ZoneShares{};
       l.max_share = (none ? terms_.fill.ground : rules.zones.of(terms_.home, zone)) / 1000.0;
       out += l.max_share;
     }
@@ -316,7 +317,7 @@
   const auto add = [&](const std::string& name, const Course& course, const auto& views,
                        const std::string& key) {
     const auto v = views.find(key);
-    const accord::Order* o = ordered(name);
+    const shared_config::Order* o = ordered(name);
     all.push_back(
         {name, course.state(), course.share(), o ? o->what : "", v == views.end() ? ZoneView{} : v->second});
   };
@@ -325,4 +326,4 @@
   return all;
 }
 
-}  // namespace cairnhub::zones
+}  // namespace cairnhub::zone_failover
--- a/src/zones/zones.h
+++ b/src/zone_failover/zone_failover.h
@@ -16,14 +16,14 @@
 #include <string>
 #include <vector>
 
-#include "accord/versions.h"
 #include "policy/request_policy.h"
-#include "zones/account.h"
-#include "zones/course.h"
-#include "zones/evidence.h"
-#include "zones/shares.h"
+#include "shared_config/version_history.h"
+#include "zone_failover/failover_state_machine.h"
+#include "zone_failover/traffic_split.h"
+#include "zone_failover/zone_health.h"
+#include "zone_failover/zone_load.h"
 
-namespace cairnhub::zones {
+namespace cairnhub::zone_failover {
 
 struct Zone {
   std::string name, region;
@@ -82,12 +82,12 @@
   void gone(const std::string& broker) { evidence_.gone(broker); }
 
   // Where this broker leads: called after each report, answers what is to be proposed. `book`: the leader's.
-  std::optional<accord::Entry> lead(Time now, const accord::Versions& book);
+  std::optional<shared_config::Entry> lead(Time now, const shared_config::Versions& book);
   void leads_no_more() { led_ = false; }
 
   // What this broker acts on: the rules, and the note of the newest version it holds a lease on; none:
   // without a lease. By number of the zones stated, its own the first.
-  std::vector<ZoneLimit> limits(const accord::Rules& rules, const std::string* note) const;
+  std::vector<ZoneLimit> limits(const shared_config::Rules& rules, const std::string* note) const;
   int number_of(const std::string& zone) const;  // one past the last where it is not stated
   const std::string& name_of(int number) const;  // empty for that one: it tells nothing of any zone
   const Terms& terms() const { return terms_; }
@@ -99,10 +99,10 @@
  private:
   struct Had {
     Note note;
-    accord::ZoneShares shares;
+    shared_config::ZoneShares shares;
   };
   bool worth_it(Time now, const Had& had, const Note& note, const Filled& filled, std::string& why);
-  const accord::Order* ordered(const std::string& zone_or_region) const;
+  const shared_config::Order* ordered(const std::string& zone_or_region) const;
   void look_at_regions(Time now, std::vector<Place>& places, bool newest_in_force, const Note& had,
                        Note& note);
 
@@ -116,7 +116,7 @@
   View view_;
   std::map<std::string, Course> courses_, regions_;
   std::map<std::string, ZoneView> region_views_;
-  std::map<std::string, accord::Order> ordered_;
+  std::map<std::string, shared_config::Order> ordered_;
   Time next_ = 0, changed_at_ = 0;
   bool led_ = false;
   std::uint64_t proposals_ = 0, waits_on_ = 0, waits_ground_ = 0;
@@ -124,4 +124,4 @@
   std::string why_;
 };
 
-}  // namespace cairnhub::zones
+}  // namespace cairnhub::zone_failover
--- a/src/zones/evidence.cpp
+++ b/src/zone_failover/zone_health.cpp
@@ -1,9 +1,9 @@
-#include "zones/evidence.h"
+#include "zone_failover/zone_health.h"
 
 #include <algorithm>
 #include <cstdio>
 
-namespace cairnhub::zones {
+namespace cairnhub::zone_failover {
 
 namespace {
 
@@ -171,4 +171,4 @@
   return view;
 }
 
-}  // namespace cairnhub::zones
+}  // namespace cairnhub::zone_failover
--- a/src/zones/evidence.h
+++ b/src/zone_failover/zone_health.h
@@ -10,9 +10,9 @@
 #include <string>
 #include <vector>
 
-#include "zones/account.h"
+#include "zone_failover/zone_load.h"
 
-namespace cairnhub::zones {
+namespace cairnhub::zone_failover {
 
 struct EvidenceTerms {
   Time fresh = 3 * kSecond / 2;  // older reports don't count
@@ -64,4 +64,4 @@
   std::map<std::string, Report> reports_;  // by broker
 };
 
-}  // namespace cairnhub::zones
+}  // namespace cairnhub::zone_failover
--- a/src/zones/account.cpp
+++ b/src/zone_failover/zone_load.cpp
@@ -1,9 +1,9 @@
-#include "zones/account.h"
+#include "zone_failover/zone_load.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace cairnhub::zones {
+namespace cairnhub::zone_failover {
 
 namespace {
 
@@ -93,4 +93,4 @@
   return all;
 }
 
-}  // namespace cairnhub::zones
+}  // namespace cairnhub::zone_failover
--- a/src/zones/account.h
+++ b/src/zone_failover/zone_load.h
@@ -7,7 +7,7 @@
 #include "base/time.h"
 #include "policy/endpoint_state.h"
 
-namespace cairnhub::zones {
+namespace cairnhub::zone_failover {
 
 constexpr std::size_t kZonesMost = 64;
 
@@ -71,4 +71,4 @@
   Time asked_at_ = 0;
 };
 
-}  // namespace cairnhub::zones
+}  // namespace cairnhub::zone_failover
--- a/src/zones/report.cpp
+++ b/src/zone_failover/zone_report.cpp
@@ -1,10 +1,10 @@
-#include "zones/report.h"
+#include "zone_failover/zone_report.h"
 
 #include <cmath>
 
-#include "zones.pb.h"
+#include "zone_failover.pb.h"
 
-namespace cairnhub::zones {
+namespace cairnhub::zone_failover {
 
 namespace {
 
@@ -16,7 +16,7 @@
 }  // namespace
 
 std::string encode(const Report& report) {
-  wire::Report w;
+  zones::wire::Report w;
   w.set_home(report.home);
   w.set_wanted(static_cast<float>(report.wanted));
   w.set_far(static_cast<float>(report.far));
@@ -38,7 +38,7 @@
 }
 
 std::optional<Report> decode(std::string_view bytes) {
-  wire::Report w;
+  zones::wire::Report w;
   if (!w.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return std::nullopt;
   if (!name(w.home()) || !rate(w.wanted()) || !rate(w.far()) ||
       w.reading_size() > static_cast<int>(kZonesMost))
@@ -64,4 +64,4 @@
   return out;
 }
 
-}  // namespace cairnhub::zones
+}  // namespace cairnhub::zone_failover
--- a/src/zones/report.h
+++ b/src/zone_failover/zone_report.h
@@ -4,11 +4,11 @@
 #include <string>
 #include <string_view>
 
-#include "zones/evidence.h"
+#include "zone_failover/zone_health.h"
 
-namespace cairnhub::zones {
+namespace cairnhub::zone_failover {
 
 std::string encode(const Report& report);
 std::optional<Report> decode(std::string_view bytes);
 
-}  // namespace cairnhub::zones
+}  // namespace cairnhub::zone_failover
