--- a/tests/accord.cpp
+++ b/tests/accord.cpp
@@ -3,17 +3,17 @@
 #include <cstdlib>
 #include <map>
 
-#include "fleet/accords.h"
+#include "cluster/shared_config_cluster.h"
 
 using namespace cairnhub;
-using namespace cairnhub::fleet;
+using namespace cairnhub::cluster;
 
 namespace {
 
 constexpr Time kMs = kSecond / 1000;
 
-accord::Terms terms_of(Time stated) {
-  accord::Terms t;
+shared_config::Terms terms_of(Time stated) {
+  shared_config::Terms t;
   t.lease.stated = stated;
   t.replace_after = 5 * kSecond;
   return t;
@@ -44,7 +44,7 @@
                const std::string& id = "") {
     bool done = false;
     fleet.propose(by, rules, is_ground, base, id.empty() ? "p" + std::to_string(++proposed) : id,
-                  [&](const std::optional<accord::Verdict>& v) {
+                  [&](const std::optional<shared_config::Verdict>& v) {
                     done = true;
                     number = v ? v->number : 0;
                     verdict = !v          ? "nothing heard"
@@ -170,7 +170,7 @@
     const std::uint64_t base = s.fleet.all[static_cast<std::size_t>(l)].accord->engine()->versions().newest();
     bool told = false;
     s.fleet.propose(l, limit(20 + k), false, base, "k" + std::to_string(k),
-                    [&](const std::optional<accord::Verdict>& v) { told = v && v->number; });
+                    [&](const std::optional<shared_config::Verdict>& v) { told = v && v->number; });
     s.world.play(s.world.now() + k * 100'000);  // 0 to 4 ms
     s.fleet.kill(l);
     heard += told;
@@ -197,7 +197,7 @@
   for (int k = 0; k < 100; ++k) {
     const int by = k % 9;
     s.fleet.propose(by, limit(20 + k), false, static_cast<std::uint64_t>(k) + 1, "h" + std::to_string(k),
-                    [&](const std::optional<accord::Verdict>& v) { taken += v && v->number; });
+                    [&](const std::optional<shared_config::Verdict>& v) { taken += v && v->number; });
     s.world.play(began + (k + 1) * 10 * kMs);
   }
   std::printf("100 versions in a second: taken %d; all settle on 101: %s\n", taken,
@@ -260,23 +260,24 @@
 // A voter whose log is longer than the new leader's, by what an earlier one never got committed: it answers
 // for what it was shown to share, and no further.
 void longer_log(Story&) {
-  KeptStore store(accord::first_voter_id("b0"));
-  std::vector<accord::Voter> three;
-  for (int i = 0; i < 3; ++i) three.push_back({accord::first_voter_id(broker(i)), broker(i), true});
-  accord::Engine::bootstrap(store, three);
-  accord::Entry e;
+  KeptStore store(shared_config::first_voter_id("b0"));
+  std::vector<shared_config::Voter> three;
+  for (int i = 0; i < 3; ++i) three.push_back({shared_config::first_voter_id(broker(i)), broker(i), true});
+  shared_config::Engine::bootstrap(store, three);
+  shared_config::Entry e;
   e.id = "never", e.text = limit(5);
   store.set_term(2);
-  store.append(2, std::vector<accord::LogEntry>(20, {2, 1, accord::encode(e)}));
-  accord::Engine engine({}, "b0", store, 1, {});
+  store.append(2, std::vector<shared_config::LogEntry>(20, {2, 1, shared_config::encode(e)}));
+  shared_config::Engine engine({}, "b0", store, 1, {});
   engine.start(kSecond);
   const auto answer = [&](std::uint64_t after, std::uint64_t term_there, int entries) {
     accord::wire::Raft m;
-    m.set_type(1), m.set_from(accord::first_voter_id("b1")), m.set_to(accord::first_voter_id("b0"));
+    m.set_type(1), m.set_from(shared_config::first_voter_id("b1")),
+        m.set_to(shared_config::first_voter_id("b0"));
     m.set_term(3), m.set_a(after), m.set_b(term_there), m.set_c(1);
     for (int k = 0; k < entries; ++k) {
       auto* one = m.add_entry();
-      one->set_term(3), one->set_type(1), one->set_data(accord::encode(e));
+      one->set_term(3), one->set_type(1), one->set_data(shared_config::encode(e));
     }
     engine.received(kSecond, "b1", m);
     std::string said = "nothing";
@@ -296,28 +297,28 @@
 
 // A broker starts anew while what its earlier life asked is still on its way, and while it was granted.
 void two_lives(Story&) {
-  accord::LeaseTerms terms;
-  accord::Leases leader(terms);
-  accord::Versions book;
-  for (auto kind : {accord::Entry::Kind::enlist, accord::Entry::Kind::propose_ground}) {
-    accord::Entry e;
+  shared_config::LeaseTerms terms;
+  shared_config::Leases leader(terms);
+  shared_config::Versions book;
+  for (auto kind : {shared_config::Entry::Kind::enlist, shared_config::Entry::Kind::propose_ground}) {
+    shared_config::Entry e;
     e.kind = kind, e.name = "x", e.id = "g", e.base = 1, e.text = limit(5);
     book.apply(e);
   }
   const std::set<std::string> voters{"v"};
   leader.leads(kSecond, 1, voters, "v");
-  const auto grants = [&](Time now, const accord::Ask& ask) {
+  const auto grants = [&](Time now, const shared_config::Ask& ask) {
     leader.asked(now, "x", ask);
     if (const auto r = leader.round(now)) leader.confirmed(now, "v", 1, *r, book);
     return leader.granted();
   };
-  accord::Holder first(terms, {}, 7);
-  const accord::Ask asked = first.ask(kSecond);
-  accord::Ask keeps = first.ask(kSecond);
+  shared_config::Holder first(terms, {}, 7);
+  const shared_config::Ask asked = first.ask(kSecond);
+  shared_config::Ask keeps = first.ask(kSecond);
   const auto early = grants(kSecond, asked);
   keeps.ground = book.ground_next()->number;  // the first life has come to keep to it
-  accord::Holder second(terms, {}, 9);
-  const accord::Ask anew = second.ask(2 * kSecond);
+  shared_config::Holder second(terms, {}, 9);
+  const shared_config::Ask anew = second.ask(2 * kSecond);
   std::printf("what its earlier life was granted is an answer to it: %s\n",
               second.answered(2 * kSecond, early.front().grant) ? "YES" : "no");
   grants(2 * kSecond, keeps);
@@ -431,7 +432,7 @@
     const auto& book = f.all[static_cast<std::size_t>(l)].accord->engine()->versions();
     for (const auto& [number, id] : f.told) {
       const auto* v = book.at(number);
-      if (number + accord::Versions::kKept > book.in_force() && (!v || v->id != id))
+      if (number + shared_config::Versions::kKept > book.in_force() && (!v || v->id != id))
         return complain("a version that its proposer was told of is lost");
     }
     std::map<std::string, int> ids;
--- a/tests/audits.cpp
+++ b/tests/audits.cpp
@@ -2,9 +2,9 @@
 #include <cstdio>
 #include <vector>
 
-#include "fleet/auditor.h"
+#include "cluster/auditor.h"
 
-using namespace cairnhub::fleet;
+using namespace cairnhub::cluster;
 
 namespace {
 
--- a/tests/closing_order.cpp
+++ b/tests/closing_order.cpp
@@ -18,15 +18,15 @@
 #include <utility>
 
 #include "base/timer.h"
-#include "broker/route.h"
+#include "dispatch/request_dispatcher.h"
 #include "server/broker.h"
 #include "stand_ins/client.h"
 #include "stand_ins/node.h"
 
 using namespace cairnhub::stand_ins;
 using cairnhub::Timer;
-using cairnhub::broker::Broker;
-using cairnhub::broker::Config;
+using cairnhub::dispatch::Config;
+using cairnhub::server::Broker;
 
 namespace {
 
@@ -51,7 +51,7 @@
                       << R"("settings":{"ceilings":{)" << ceilings << R"("try-limit":3},"classes":[)"
                       << R"({"name":"all","promise":)" << seconds << R"(,"deadline":)" << seconds << "}],"
                       << R"("family-info":{"positions":1,"width":1,"ranges":1}}})";
-  Config read = cairnhub::broker::read_config(name);
+  Config read = cairnhub::dispatch::read_config(name);
   unlink(name);
   return read;
 }
@@ -63,7 +63,7 @@
   Client client;
 
   explicit Rig(int servers = 1, const std::string& ceilings = {}, const std::string& seconds = "1",
-               const cairnhub::broker::Extras& extras = {})
+               const cairnhub::server::Extras& extras = {})
       : broker(std::make_unique<Broker>(base, config(servers, ceilings, seconds), extras)) {}
   Rig(const Rig&) = delete;
   Rig& operator=(const Rig&) = delete;
@@ -239,7 +239,7 @@
 // The broker's ends of its connections (clients', two servers' of either protocol, discovery's) send what is
 // written at once.
 std::string no_delay() {
-  cairnhub::broker::Extras extras;
+  cairnhub::server::Extras extras;
   extras.search_flavor = kSearchFlavor;
   Rig rig(2, "", "30", extras);
   const Node servers[] = {Node(0), Node(1)};
--- a/tests/fleet/auditor.cpp
+++ b/tests/cluster/auditor.cpp
@@ -1,11 +1,11 @@
-#include "fleet/auditor.h"
+#include "cluster/auditor.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <set>
 #include <sstream>
 
-namespace cairnhub::fleet {
+namespace cairnhub::cluster {
 
 bool read_record(const std::string& line, Record& into) {
   const auto j = nlohmann::json::parse(line, nullptr, false);
@@ -197,4 +197,4 @@
   return out;
 }
 
-}  // namespace cairnhub::fleet
+}  // namespace cairnhub::cluster
--- a/tests/fleet/auditor.h
+++ b/tests/cluster/auditor.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-namespace cairnhub::fleet {
+namespace cairnhub::cluster {
 
 struct Record {
   std::int64_t t = 0;  // CLOCK_MONOTONIC, ns
@@ -54,4 +54,4 @@
 
 Audit audit(const std::vector<Record>& records, const Known& known);
 
-}  // namespace cairnhub::fleet
+}  // namespace cairnhub::cluster
--- a/tests/fleet/rig.cpp
+++ b/tests/cluster/cluster_harness.cpp
@@ -1,4 +1,4 @@
-#include "fleet/rig.h"
+#include "cluster/cluster_harness.h"
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -24,7 +24,7 @@
 
 #include "stand_ins/net.h"
 
-namespace cairnhub::fleet {
+namespace cairnhub::cluster {
 
 namespace {
 
@@ -497,7 +497,7 @@
   std::shared_ptr<bool> here_ = std::make_shared<bool>(true);
 };
 
-Rig::Rig(const std::string& program, const Script& script)
+Rig::Rig(const std::string& program, const fleet::Script& script)
     : program_(program),
       script_(script),
       base_(event_base_new()),
@@ -728,7 +728,7 @@
 // Since the last load began; n: thousandths. A share too small is measured anew, over as many answers, where
 // a broker was held up for so long that it lost its lease; a few times at most, as leases that are lost again
 // and again are a fault.
-bool Rig::check_share_served(const Step& s) {
+bool Rig::check_share_served(const fleet::Step& s) {
   constexpr int kMaxMeasurements = 6;
   for (int measurement = 1;; ++measurement) {
     const std::uint64_t all = answered_ - before_answered_;
@@ -748,7 +748,7 @@
 }
 
 // What crossed since the mark at each broker, against its budget, or against n bytes a second.
-bool Rig::crossed_within_budget(const Step& s, const std::vector<int>& brokers) {
+bool Rig::crossed_within_budget(const fleet::Step& s, const std::vector<int>& brokers) {
   const double seconds_long = static_cast<double>(monotonic() - marked_at_) / 1e9;
   const double bytes_per_second = s.has_n() ? static_cast<double>(s.n()) : script_.crossing();
   CrossingReadings now;
@@ -1007,7 +1007,8 @@
   return -1;
 }
 
-std::vector<int> Rig::of(const google::protobuf::RepeatedField<std::uint32_t>& list, const Step& s) const {
+std::vector<int> Rig::of(const google::protobuf::RepeatedField<std::uint32_t>& list,
+                         const fleet::Step& s) const {
   std::vector<int> out(list.begin(), list.end());
   if (s.leader() && &list == &s.at()) {
     const int l = leader();
@@ -1016,7 +1017,7 @@
   return out.empty() ? everyone() : out;
 }
 
-void Rig::trouble(const Step& s, const std::function<void(Trouble&)>& change) {
+void Rig::trouble(const fleet::Step& s, const std::function<void(Trouble&)>& change) {
   const std::vector<int> from = of(s.at(), s), to = of(s.to(), s);
   for (const int i : from)
     for (const int j : to)
@@ -1026,7 +1027,7 @@
 }
 
 // `cairnhub accord ...` as an operator would; what stands after a bar is a file of rules.
-bool Rig::command(const Step& s) {
+bool Rig::command(const fleet::Step& s) {
   std::string args = s.text(), rules;
   if (const auto bar = args.find('|'); bar != std::string::npos) {
     rules = args.substr(bar + 1);
@@ -1076,7 +1077,7 @@
 }
 
 // n versions one after the other, each as soon as the one before is taken.
-bool Rig::burst(const Step& s) {
+bool Rig::burst(const fleet::Step& s) {
   const int who = of(s.at(), s).front();
   const auto history = nlohmann::json::parse(asked(who, "/accord/history"), nullptr, false);
   if (!history.is_object()) return false;
@@ -1103,7 +1104,7 @@
 }
 
 // Datagrams that are none, of random bytes and up to 65,507 of them, and streams of such.
-void Rig::noise(const Step& s) {
+void Rig::noise(const fleet::Step& s) {
   const int fd = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
   for (const int i : of(s.at(), s)) {
     const sockaddr_in to = address(kTalk + i);
@@ -1291,7 +1292,7 @@
         a.works_done, a.at_work, a.below_least);
 }
 
-bool Rig::step(const Step& s) {
+bool Rig::step(const fleet::Step& s) {
   if (s.has_say()) std::printf("%s\n", s.say().c_str());
   const std::string& verb = s.do_();
   const std::vector<int> at_brokers = s.has_do_() ? of(s.at(), s) : std::vector<int>{};
@@ -1758,7 +1759,7 @@
 }
 
 bool Rig::play() {
-  for (const Step& s : script_.step()) {
+  for (const fleet::Step& s : script_.step()) {
     if (!step(s)) return false;
     std::fflush(stdout);
   }
@@ -1766,4 +1767,4 @@
   return true;
 }
 
-}  // namespace cairnhub::fleet
+}  // namespace cairnhub::cluster
--- a/tests/fleet/rig.h
+++ b/tests/cluster/cluster_harness.h
@@ -19,11 +19,11 @@
 #include <string>
 #include <vector>
 
-#include "fleet/auditor.h"
-#include "fleet/crew.h"
+#include "cluster/auditor.h"
+#include "cluster/maintenance_driver.h"
 #include "script.pb.h"
 
-namespace cairnhub::fleet {
+namespace cairnhub::cluster {
 
 // What the link from one broker to another does to what passes.
 struct Trouble {
@@ -43,7 +43,7 @@
 
 class Rig {
  public:
-  Rig(const std::string& program, const Script& script);
+  Rig(const std::string& program, const fleet::Script& script);
   ~Rig();
   // Plays it all and prints what its steps say; false where something awaited never came.
   bool play();
@@ -85,7 +85,7 @@
     ~Later();
   };
   void later(int ms, std::function<void()> what);
-  bool step(const Step& s);
+  bool step(const fleet::Step& s);
   bool await(const std::function<bool()>& holds, const char* what, int patience_ms = 40000);
   void run_for(int ms);
   void read_records();
@@ -97,14 +97,14 @@
   void start(Broker& b);
   void start_new_event_file(Broker& b);
   void stop(Broker& b, int signal);
-  std::vector<int> of(const google::protobuf::RepeatedField<std::uint32_t>& list, const Step& s) const;
+  std::vector<int> of(const google::protobuf::RepeatedField<std::uint32_t>& list, const fleet::Step& s) const;
   int leader() const;
   // Of its operators' address, JSON; with a body it is posted.
   std::string asked(int broker, const char* path, const std::string& body = "") const;
-  bool burst(const Step& s);
-  void trouble(const Step& s, const std::function<void(Trouble&)>& change);
-  bool command(const Step& s);
-  void noise(const Step& s);
+  bool burst(const fleet::Step& s);
+  void trouble(const fleet::Step& s, const std::function<void(Trouble&)>& change);
+  bool command(const fleet::Step& s);
+  void noise(const fleet::Step& s);
   static void write_keys(const Broker& b, const std::string& letters);
   std::string list_for(int broker, std::uint64_t revision) const;
   bool settled(std::uint64_t least, const std::vector<int>& at) const;
@@ -125,8 +125,8 @@
   bool load(std::uint64_t answers);
   int leases_lost() const;
   bool a_held_up_broker_lost_its_lease();
-  bool check_share_served(const Step& s);
-  bool crossed_within_budget(const Step& s, const std::vector<int>& brokers);
+  bool check_share_served(const fleet::Step& s);
+  bool crossed_within_budget(const fleet::Step& s, const std::vector<int>& brokers);
   std::string step_of(std::uint64_t work) const;  // as the leader tells it
   std::vector<int> everyone() const;
   void publish(int host, const std::string& phase, bool restarted, const std::vector<int>& who);
@@ -145,7 +145,7 @@
   std::string program_, folder_;
   std::string previous_program_;  // empty: all run the same
   int previous_broker_ = -1;
-  Script script_;
+  fleet::Script script_;
   event_base* base_;
   std::mt19937 chance_;
   std::vector<std::unique_ptr<Broker>> brokers_;
@@ -193,4 +193,4 @@
   int proposals_ = 0;
 };
 
-}  // namespace cairnhub::fleet
+}  // namespace cairnhub::cluster
--- a/tests/fleet/crew.cpp
+++ b/tests/cluster/maintenance_driver.cpp
@@ -1,13 +1,13 @@
-#include "fleet/crew.h"
+#include "cluster/maintenance_driver.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <sstream>
 #include <utility>
 
-#include "fleet/rig.h"
+#include "cluster/cluster_harness.h"
 
-namespace cairnhub::fleet {
+namespace cairnhub::cluster {
 
 namespace {
 
@@ -129,4 +129,4 @@
   }
 }
 
-}  // namespace cairnhub::fleet
+}  // namespace cairnhub::cluster
--- a/tests/fleet/crew.h
+++ b/tests/cluster/maintenance_driver.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-namespace cairnhub::fleet {
+namespace cairnhub::cluster {
 
 class Rig;
 
@@ -67,4 +67,4 @@
   std::vector<Job> jobs_;
 };
 
-}  // namespace cairnhub::fleet
+}  // namespace cairnhub::cluster
--- a/tests/fleet/membership_cluster.h
+++ b/tests/cluster/membership_cluster.h
@@ -7,11 +7,11 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/seeded.h"
+#include "cluster/seeded.h"
 #include "membership/message_codec.h"
 #include "membership/swim_membership.h"
 
-namespace cairnhub::fleet {
+namespace cairnhub::cluster {
 
 inline std::string broker_name(int i) { return "b" + std::to_string(i); }
 inline std::string broker_address(int i) { return "at:" + std::to_string(i); }
@@ -138,4 +138,4 @@
   }
 };
 
-}  // namespace cairnhub::fleet
+}  // namespace cairnhub::cluster
--- a/tests/fleet/seeded.h
+++ b/tests/cluster/seeded.h
@@ -13,7 +13,7 @@
 #include "base/random_source.h"
 #include "base/time.h"
 
-namespace cairnhub::fleet {
+namespace cairnhub::cluster {
 
 class Seeded {
  public:
@@ -66,4 +66,4 @@
   Time now_ = kSecond;
 };
 
-}  // namespace cairnhub::fleet
+}  // namespace cairnhub::cluster
--- a/tests/fleet/accords.h
+++ b/tests/cluster/shared_config_cluster.h
@@ -7,17 +7,17 @@
 #include <string>
 #include <vector>
 
-#include "accord.pb.h"
-#include "accord/accord.h"
-#include "fleet/seeded.h"
+#include "cluster/seeded.h"
+#include "shared_config.pb.h"
+#include "shared_config/shared_config_node.h"
 
-namespace cairnhub::fleet {
+namespace cairnhub::cluster {
 
 // What a voter wrote stays, whatever becomes of its process.
-class KeptStore : public accord::Store {
+class KeptStore : public shared_config::Store {
  public:
   explicit KeptStore(std::uint64_t id) { now_.voter_id = id; }
-  const accord::Stored& loaded() const override { return now_; }
+  const shared_config::Stored& loaded() const override { return now_; }
   bool set_term(std::uint64_t term) override {
     if (fails) return false;
     now_.term = term, now_.vote = 0;
@@ -28,7 +28,7 @@
     now_.vote = id;
     return true;
   }
-  bool append(std::uint64_t first, const std::vector<accord::LogEntry>& entries) override {
+  bool append(std::uint64_t first, const std::vector<shared_config::LogEntry>& entries) override {
     if (fails) return false;
     if (now_.entries.empty()) now_.first = first;
     now_.entries.resize(first - now_.first);
@@ -40,7 +40,7 @@
     now_.entries.resize(from - now_.first);
     return true;
   }
-  bool put(const accord::Snapshot& s, std::uint64_t keep_from) override {
+  bool put(const shared_config::Snapshot& s, std::uint64_t keep_from) override {
     if (fails) return false;
     now_.snapshot = s;
     const std::uint64_t end = now_.first + now_.entries.size();
@@ -54,11 +54,11 @@
     }
     return true;
   }
-  std::optional<accord::Snapshot> snapshot() const override { return now_.snapshot; }
+  std::optional<shared_config::Snapshot> snapshot() const override { return now_.snapshot; }
   bool fails = false;
 
  private:
-  accord::Stored now_;
+  shared_config::Stored now_;
 };
 
 inline std::string broker(int i) { return "b" + std::to_string(i); }
@@ -66,7 +66,7 @@
 struct Accords {
   struct One {
     std::unique_ptr<KeptStore> store;
-    std::unique_ptr<accord::Accord> accord;
+    std::unique_ptr<shared_config::Accord> accord;
     bool runs = false, paused = false;
     int life = 0, stores = 0;
     double rate = 1;  // of its clock
@@ -74,7 +74,7 @@
     std::vector<std::function<void()>> held;
   };
   Seeded& world;
-  accord::Terms terms;
+  shared_config::Terms terms;
   std::vector<One> all;
   int voters;
 
@@ -86,18 +86,18 @@
   std::uint64_t top_force = 0;
   Time forced_at = 0;  // when the newest of any broker's `low` rose last
 
-  Accords(Seeded& w, int n, int v, const accord::Terms& t, double drift = 0)
+  Accords(Seeded& w, int n, int v, const shared_config::Terms& t, double drift = 0)
       : world(w), terms(t), all(static_cast<std::size_t>(n)), voters(v) {
     for (int i = 0; i < v; ++i) terms.voters.push_back(broker(i));
-    std::vector<accord::Voter> first;
-    for (int i = 0; i < v; ++i) first.push_back({accord::first_voter_id(broker(i)), broker(i), true});
+    std::vector<shared_config::Voter> first;
+    for (int i = 0; i < v; ++i) first.push_back({shared_config::first_voter_id(broker(i)), broker(i), true});
     for (int i = 0; i < n; ++i) {
       One& o = all[static_cast<std::size_t>(i)];
       o.rate = 1 + drift * (2 * world.chance.unit() - 1);
       o.offset = static_cast<Time>(world.chance.below(1000)) * kSecond;
       if (i < v) {
-        o.store = std::make_unique<KeptStore>(accord::first_voter_id(broker(i)));
-        accord::Engine::bootstrap(*o.store, first);
+        o.store = std::make_unique<KeptStore>(shared_config::first_voter_id(broker(i)));
+        shared_config::Engine::bootstrap(*o.store, first);
       }
     }
   }
@@ -110,9 +110,9 @@
   void start(int i) {
     One& o = all[static_cast<std::size_t>(i)];
     terms.life = static_cast<std::uint32_t>(o.life + 1);
-    o.accord = std::make_unique<accord::Accord>(terms, broker(i), o.store.get(), accord::Rules{},
-                                                world.chance.below(1u << 30));
-    o.accord->applied = [this, i](const accord::Entry&, const accord::Verdict&) { applied(i); };
+    o.accord = std::make_unique<shared_config::Accord>(terms, broker(i), o.store.get(),
+                                                       shared_config::Rules{}, world.chance.below(1u << 30));
+    o.accord->applied = [this, i](const shared_config::Entry&, const shared_config::Verdict&) { applied(i); };
     o.runs = true, ++o.life, o.woken_at = kNever;
     for (int j = 0; j < static_cast<int>(all.size()); ++j) {
       if (j != i) o.accord->peer(local(o), broker(j), all[static_cast<std::size_t>(j)].runs);
@@ -145,7 +145,7 @@
     o.paused = false;
     for (auto& what : std::exchange(o.held, {})) what();
   }
-  void within(int i, int life, const std::function<void(accord::Accord&, Time)>& what) {
+  void within(int i, int life, const std::function<void(shared_config::Accord&, Time)>& what) {
     One& o = all[static_cast<std::size_t>(i)];
     if (!o.runs || o.life != life) return;
     if (o.paused) {
@@ -162,7 +162,7 @@
       const int to = std::stoi(m->to.substr(1));
       const std::size_t size = m->bytes.size() + 90;  // sealed
       world.carry(i, to, size, [this, i, to, bytes = std::move(m->bytes)] {
-        within(to, all[static_cast<std::size_t>(to)].life, [i, bytes](accord::Accord& a, Time now) {
+        within(to, all[static_cast<std::size_t>(to)].life, [i, bytes](shared_config::Accord& a, Time now) {
           accord::wire::Packet p;
           if (p.ParseFromString(bytes)) a.received(now, broker(i), p);
         });
@@ -177,7 +177,7 @@
           One& me = all[static_cast<std::size_t>(i)];
           if (me.life != life || me.woken_at != at) return;
           me.woken_at = kNever;
-          within(i, life, [](accord::Accord& a, Time now) { a.woken(now); });
+          within(i, life, [](shared_config::Accord& a, Time now) { a.woken(now); });
         });
       }
     }
@@ -217,7 +217,8 @@
       for (const One& b : all) {
         if (!b.runs) continue;
         const auto& theirs = *b.accord->acting(local(b));
-        if (theirs.low != 0 && theirs.low == theirs.high && !accord::within(*mine.rules, *theirs.rules))
+        if (theirs.low != 0 && theirs.low == theirs.high &&
+            !shared_config::within(*mine.rules, *theirs.rules))
           return false;
       }
     }
@@ -242,12 +243,12 @@
     return n != 0;
   }
   void propose(int by, const std::string& rules, bool ground, std::uint64_t base, const std::string& id,
-               std::function<void(const std::optional<accord::Verdict>&)> done = {}) {
-    accord::Entry e;
-    e.kind = ground ? accord::Entry::Kind::propose_ground : accord::Entry::Kind::propose;
+               std::function<void(const std::optional<shared_config::Verdict>&)> done = {}) {
+    shared_config::Entry e;
+    e.kind = ground ? shared_config::Entry::Kind::propose_ground : shared_config::Entry::Kind::propose;
     e.id = id, e.text = rules, e.who = "operator", e.why = "test", e.base = base;
-    within(by, all[static_cast<std::size_t>(by)].life, [&](accord::Accord& a, Time now) {
-      a.propose(now, e, [this, done, ground, id](const std::optional<accord::Verdict>& v) {
+    within(by, all[static_cast<std::size_t>(by)].life, [&](shared_config::Accord& a, Time now) {
+      a.propose(now, e, [this, done, ground, id](const std::optional<shared_config::Verdict>& v) {
         if (v && v->number && !ground) told[v->number] = id;
         if (done) done(v);
       });
@@ -255,4 +256,4 @@
   }
 };
 
-}  // namespace cairnhub::fleet
+}  // namespace cairnhub::cluster
--- a/tests/fleet/work_world.h
+++ b/tests/cluster/work_world.h
@@ -17,10 +17,10 @@
 #include <utility>
 #include <vector>
 
-#include "accord/leases.h"
-#include "upkeep/conduct.h"
+#include "maintenance/maintenance_controller.h"
+#include "shared_config/leases.h"
 
-namespace cairnhub::fleet {
+namespace cairnhub::cluster {
 
 enum class Way { planned, one_by_one, blind };
 
@@ -51,7 +51,7 @@
         size_(size),
         way_(way),
         without_(without),
-        book_(std::make_shared<upkeep::Works>()) {
+        book_(std::make_shared<maintenance::Works>()) {
     hosts_.resize(static_cast<std::size_t>(size.hosts));
     for (int h = 0; h < size.hosts; ++h) {
       Host& x = hosts_[static_cast<std::size_t>(h)];
@@ -61,12 +61,12 @@
     for (int b = 0; b < size.brokers; ++b) {
       Broker& x = brokers_[static_cast<std::size_t>(b)];
       x.name = "b" + std::to_string(b);
-      x.holder = std::make_unique<accord::Holder>(lease_terms(), accord::Rules{});
-      accord::Entry e;
-      e.kind = accord::Entry::Kind::enlist, e.name = x.name;
+      x.holder = std::make_unique<shared_config::Holder>(lease_terms(), shared_config::Rules{});
+      shared_config::Entry e;
+      e.kind = shared_config::Entry::Kind::enlist, e.name = x.name;
       book_.apply(e);
     }
-    conduct_ = std::make_unique<upkeep::Conduct>(conduct_terms(), kLeader);
+    conduct_ = std::make_unique<maintenance::Conduct>(conduct_terms(), kLeader);
     leases_.leads(now_ - 2 * kSecond, 1, {kLeader}, kLeader);
     std::vector<int> order(hosts_.size());
     for (std::size_t h = 0; h < order.size(); ++h) order[h] = static_cast<int>(h);
@@ -112,7 +112,7 @@
       if (j.end || j.lost) continue;
       const auto why = conduct_->waits().find(j.work);
       all += hosts_[static_cast<std::size_t>(j.host)].name + " " +
-             (it == works().all().end() ? "unknown" : upkeep::name_of(it->second.step)) + ", " +
+             (it == works().all().end() ? "unknown" : maintenance::name_of(it->second.step)) + ", " +
              (why == conduct_->waits().end() ? it->second.last : why->second) + "; ";
     }
     return all;
@@ -131,13 +131,13 @@
   };
   struct Broker {
     std::string name;
-    std::unique_ptr<accord::Holder> holder;
+    std::unique_ptr<shared_config::Holder> holder;
     std::vector<Part> out;
     std::vector<bool> gone;  // by host, as its list has it
     Time cut_until = 0, stands_until = 0, says_at = 0;
     std::uint64_t acting = 0;  // of what `barred` was made
-    const accord::Acting* barred_for = nullptr;
-    std::shared_ptr<const accord::Acting> kept;
+    const shared_config::Acting* barred_for = nullptr;
+    std::shared_ptr<const shared_config::Acting> kept;
     std::vector<bool> barred;
   };
   struct Job {
@@ -157,20 +157,20 @@
     int broker;
     bool to_leader;
     std::uint64_t term;
-    std::optional<accord::Ask> ask;
-    std::optional<accord::Grant> grant;
-    std::optional<upkeep::Clear> clear;
+    std::optional<shared_config::Ask> ask;
+    std::optional<shared_config::Grant> grant;
+    std::optional<maintenance::Clear> clear;
   };
 
   unsigned below(unsigned n) { return static_cast<unsigned>(chance_() % n); }
   bool warm(const Host& h) const { return !h.started || now_ >= h.started + kWarm; }
-  static accord::LeaseTerms lease_terms() {
-    accord::LeaseTerms t;
+  static shared_config::LeaseTerms lease_terms() {
+    shared_config::LeaseTerms t;
     t.stated = kSecond;
     return t;
   }
-  upkeep::ConductTerms conduct_terms() const {
-    upkeep::ConductTerms t;
+  maintenance::ConductTerms conduct_terms() const {
+    maintenance::ConductTerms t;
     t.longest_send = without_ == 2 ? 0 : kLongest;
     t.warm_after = without_ == 3 ? 0 : kWarm;
     return t;
@@ -213,10 +213,10 @@
         case 3: {  // one dies, and starts anew with the ground that it kept
           if (!begins) break;
           Broker& b = broker(f.whom);
-          accord::Version ground;
+          shared_config::Version ground;
           ground = b.holder->ground();
-          ground.rules = std::make_shared<const accord::Rules>(b.holder->grounded());
-          b.holder = std::make_unique<accord::Holder>(lease_terms(), accord::Rules{});
+          ground.rules = std::make_shared<const shared_config::Rules>(b.holder->grounded());
+          b.holder = std::make_unique<shared_config::Holder>(lease_terms(), shared_config::Rules{});
           if (ground.number) b.holder->keep(ground);
           b.out.clear(), b.barred_for = nullptr, b.kept.reset();
           break;
@@ -231,9 +231,9 @@
     }
     if (leaderless_until_ && now_ >= leaderless_until_) {
       leaderless_until_ = 0;
-      leases_ = accord::Leases(lease_terms());
+      leases_ = shared_config::Leases(lease_terms());
       leases_.leads(now_, ++term_, {kLeader}, kLeader);
-      conduct_ = std::make_unique<upkeep::Conduct>(conduct_terms(), kLeader);
+      conduct_ = std::make_unique<maintenance::Conduct>(conduct_terms(), kLeader);
     }
     // Lists arrive at each broker when they do; one that is cut off from all goes by the old one.
     for (auto it = listed_at_.begin(); it != listed_at_.end();) {
@@ -293,7 +293,7 @@
       const auto& acting = *b.holder->acting(now_);
       if (now_ >= b.says_at && acting.low && !acting.rules->at_work.empty()) {
         b.says_at = now_ + kSecond / 10;
-        upkeep::Clear c;
+        maintenance::Clear c;
         c.low = acting.low;
         for (const auto& node : acting.rules->at_work) {
           const int h = std::stoi(node.substr(2));
@@ -306,8 +306,8 @@
     }
   }
 
-  upkeep::Facts facts() const {
-    upkeep::Facts f;
+  maintenance::Facts facts() const {
+    maintenance::Facts f;
     f.cells = size_.hosts, f.width = size_.width, f.revision = 1;
     f.terms.holders_least = size_.least, f.terms.at_once = way_ == Way::one_by_one ? 1 : size_.at_once;
     f.terms.a_rack = 1, f.terms.a_zone = f.terms.a_region = size_.at_once, f.terms.around = 5 * kSecond;
@@ -318,13 +318,13 @@
                          !h.dead && !h.drained, warm(h) || now_ < h.started + kListLag};
     return f;
   }
-  const upkeep::Works& works() const { return static_cast<const upkeep::Works&>(*book_.board()); }
+  const maintenance::Works& works() const { return static_cast<const maintenance::Works&>(*book_.board()); }
 
   void lead() {
     if (leaderless_until_) return;
-    if (const auto f = leases_.may_force(now_, book_)) commit(accord::Entry::Kind::force, f);
+    if (const auto f = leases_.may_force(now_, book_)) commit(shared_config::Entry::Kind::force, f);
     if (book_.ground_next() && leases_.may_force_ground(book_))
-      commit(accord::Entry::Kind::force_ground, book_.ground_next()->number);
+      commit(shared_config::Entry::Kind::force_ground, book_.ground_next()->number);
     if (settling_ && now_ >= settling_) {
       settling_ = 0;
       conduct_->settled(book_.apply(said_).number != 0);
@@ -333,14 +333,14 @@
     if (settling_ || now_ < conduct_->wake()) return;
     conduct_->looked(now_);
     ask_for_works();
-    upkeep::Seen seen;
+    maintenance::Seen seen;
     seen.facts = facts(), seen.held = leases_.held();
     for (const Broker& b : brokers_)
       if (reachable(b)) seen.alive.insert(b.name);
     if (auto e = conduct_->lead(now_, now_, book_, seen)) said_ = std::move(*e), settling_ = now_ + kStep;
   }
-  void commit(accord::Entry::Kind kind, std::uint64_t number) {
-    accord::Entry e;
+  void commit(shared_config::Entry::Kind kind, std::uint64_t number) {
+    shared_config::Entry e;
     e.kind = kind, e.number = number;
     book_.apply(e);
   }
@@ -349,13 +349,13 @@
     for (Job& j : jobs_) {
       if (j.work) continue;
       const Host& h = hosts_[static_cast<std::size_t>(j.host)];
-      accord::Entry e;
-      e.kind = accord::Entry::Kind::board, e.id = "ask-" + h.name, e.who = "crew";
-      upkeep::Op op;
+      shared_config::Entry e;
+      e.kind = shared_config::Entry::Kind::board, e.id = "ask-" + h.name, e.who = "crew";
+      maintenance::Op op;
       op.at = now_, op.request.emplace();
       op.request->machine = "m" + h.name, op.request->nodes = {h.name}, op.request->length = j.length;
       op.request->rack = "k" + std::to_string(h.rack);
-      e.text = upkeep::encode(op);
+      e.text = maintenance::encode(op);
       j.work = book_.apply(e).number;
     }
   }
@@ -364,13 +364,13 @@
     for (Job& j : jobs_) {
       const auto it = works().all().find(j.work);
       if (it == works().all().end()) continue;
-      const upkeep::Step step = it->second.step;
-      if (step == upkeep::Step::draining && !j.begun) begins(j);
-      if (step == upkeep::Step::queued && j.begun && !j.off_at)
+      const maintenance::Step step = it->second.step;
+      if (step == maintenance::Step::draining && !j.begun) begins(j);
+      if (step == maintenance::Step::queued && j.begun && !j.off_at)
         j.begun = 0, ++run_.called_back, out_.erase(j.host);
-      if (step == upkeep::Step::at_work && !j.off_at) off(j);
-      if (step == upkeep::Step::lost) j.lost = true;
-      if (step == upkeep::Step::done && !j.end) ends(j);
+      if (step == maintenance::Step::at_work && !j.off_at) off(j);
+      if (step == maintenance::Step::lost) j.lost = true;
+      if (step == maintenance::Step::done && !j.end) ends(j);
     }
   }
   void begins(Job& j) {
@@ -414,11 +414,11 @@
         listed_at_[j.host] = now_ + kSecond / 5;
         continue;
       }
-      accord::Entry e;
-      e.kind = accord::Entry::Kind::board, e.id = "back-" + h.name, e.who = "crew";
-      upkeep::Op op;
+      shared_config::Entry e;
+      e.kind = shared_config::Entry::Kind::board, e.id = "back-" + h.name, e.who = "crew";
+      maintenance::Op op;
       op.at = now_, op.done = j.work;
-      e.text = upkeep::encode(op);
+      e.text = maintenance::encode(op);
       book_.apply(e);
     }
   }
@@ -439,7 +439,7 @@
     for (Broker& b : brokers_) {
       std::erase_if(b.out, [&](const Part& p) { return p.until <= now_; });
       if (now_ < b.stands_until || below(4) != 0) continue;
-      const accord::Acting* acting = nullptr;
+      const shared_config::Acting* acting = nullptr;
       if (way_ != Way::blind) {
         const auto& a = b.holder->acting(now_);
         acting = a.get();
@@ -481,14 +481,14 @@
   std::map<int, Time> listed_at_;
   std::vector<std::pair<Broker*, std::size_t>> late_lists_;
   std::set<int> out_, failing_;
-  accord::Versions book_;
-  accord::Leases leases_{lease_terms()};
-  std::unique_ptr<upkeep::Conduct> conduct_;
+  shared_config::Versions book_;
+  shared_config::Leases leases_{lease_terms()};
+  std::unique_ptr<maintenance::Conduct> conduct_;
   std::uint64_t term_ = 1;
   Time leaderless_until_ = 0, settling_ = 0;
-  accord::Entry said_;
+  shared_config::Entry said_;
   std::deque<Mail> mail_;
   WorkRun run_;
 };
 
-}  // namespace cairnhub::fleet
+}  // namespace cairnhub::cluster
--- a/tests/fleet/zone_world.h
+++ b/tests/cluster/zone_world.h
@@ -14,9 +14,9 @@
 #include <utility>
 #include <vector>
 
-#include "zones/zones.h"
+#include "zone_failover/zone_failover.h"
 
-namespace cairnhub::fleet {
+namespace cairnhub::cluster {
 
 enum class Policy { common, alone, before, told };  // told: sees the true state, 1.5 s late
 
@@ -38,7 +38,7 @@
       : chance_(static_cast<std::mt19937::result_type>(seed)), size_(size), policy_(policy) {
     const auto n = static_cast<std::size_t>(size.zones);
     for (int z = 0; z < size.zones; ++z) {
-      zones::Zone zone;
+      zone_failover::Zone zone;
       zone.name = name(z), zone.region = "r" + std::to_string(z * size.regions / size.zones);
       zone.host_capacity = kHost;
       stated_.push_back(zone);
@@ -55,14 +55,14 @@
     }
     for (std::size_t z = 0; z < n; ++z) seen_.push_back({});
     draw_faults();
-    zones::Terms t;
+    zone_failover::Terms t;
     t.home = name(0), t.zones = stated_, t.report_every = kSecond / 4, t.evidence.fresh = kSecond;
-    zones_ = std::make_unique<zones::Zones>(t, "b0");
-    accord::Entry ground;
-    ground.kind = accord::Entry::Kind::propose_ground, ground.id = "g", ground.base = 1;
+    zones_ = std::make_unique<zone_failover::Zones>(t, "b0");
+    shared_config::Entry ground;
+    ground.kind = shared_config::Entry::Kind::propose_ground, ground.id = "g", ground.base = 1;
     ground.text = "zone_shares { otherwise: 30 }";
     book_.apply(ground);
-    ground.kind = accord::Entry::Kind::force_ground, ground.number = 2;
+    ground.kind = shared_config::Entry::Kind::force_ground, ground.number = 2;
     book_.apply(ground);
   }
 
@@ -101,8 +101,8 @@
   };
   struct Table {
     int at;
-    accord::ZoneShares shares;
-    zones::Note note;
+    shared_config::ZoneShares shares;
+    zone_failover::Note note;
   };
   static std::string name(int z) {
     return std::string(1, static_cast<char>('a' + z % 26)) + std::to_string(z);
@@ -253,11 +253,11 @@
     for (std::size_t i = 0; i < brokers_.size(); ++i) {
       const Broker& b = brokers_[i];
       if (true_[b.home].brokers_dead) continue;
-      zones::Report r;
+      zone_failover::Report r;
       r.home = name(static_cast<int>(b.home)), r.wanted = of_broker(b);
       for (std::size_t z = 0; z < true_.size(); ++z) {
         const Heard& h = b.heard[z];
-        zones::Reading& x = r.zones[name(static_cast<int>(z))];
+        zone_failover::Reading& x = r.zones[name(static_cast<int>(z))];
         x.sent = h.sent, x.lost = h.lost, x.refused = h.refused * h.sent,
         x.returned = x.sent - x.lost - x.refused;
         x.load = h.load, x.hosts = static_cast<int>(hosts_[z] * true_[z].worth);
@@ -269,12 +269,12 @@
     if (auto e = zones_->lead(now, book_)) {
       const auto v = book_.apply(*e);
       if (v.number) {
-        accord::Entry force;
-        force.kind = accord::Entry::Kind::force, force.number = v.number;
+        shared_config::Entry force;
+        force.kind = shared_config::Entry::Kind::force, force.number = v.number;
         book_.apply(force);
         ++run_.versions;
         const auto& made = *book_.at(v.number);
-        tables_.push_back({step_, made.rules->zones, zones::parse_note(made.note)});
+        tables_.push_back({step_, made.rules->zones, zone_failover::parse_note(made.note)});
         for (std::size_t z = 0; z < true_.size(); ++z) {
           const auto it = tables_.back().note.zones.find(name(static_cast<int>(z)));
           if (it == tables_.back().note.zones.end()) continue;
@@ -300,8 +300,8 @@
   }
   // The same filling from the true state, one and a half seconds late.
   void tell() {
-    std::vector<zones::Place> places;
-    zones::Cut cut;
+    std::vector<zone_failover::Place> places;
+    zone_failover::Cut cut;
     for (const auto& [from, to] : cut_)
       cut.insert({name(static_cast<int>(from)), name(static_cast<int>(to))});
     std::vector<double> wanted(true_.size(), 0);
@@ -315,7 +315,7 @@
     if (late_.size() <= 15) return;
     const auto [then, gone] = late_.front();
     late_.pop_front();
-    const auto f = zones::fill(then, gone, zones::FillTerms{0.02, 10});
+    const auto f = zone_failover::fill(then, gone, zone_failover::FillTerms{0.02, 10});
     for (Broker& b : brokers_) {
       const std::string home = name(static_cast<int>(b.home));
       double out = 0;
@@ -328,19 +328,19 @@
   std::mt19937 chance_;
   ZoneWorldSize size_;
   Policy policy_;
-  std::vector<zones::Zone> stated_;
+  std::vector<zone_failover::Zone> stated_;
   std::vector<int> hosts_;
   std::vector<Truth> true_;
   std::vector<Broker> brokers_;
   std::vector<Fault> faults_;
   std::set<std::pair<std::size_t, std::size_t>> cut_;
-  std::unique_ptr<zones::Zones> zones_;
-  accord::Versions book_;
+  std::unique_ptr<zone_failover::Zones> zones_;
+  shared_config::Versions book_;
   std::deque<Table> tables_;
-  std::deque<std::pair<std::vector<zones::Place>, zones::Cut>> late_;
+  std::deque<std::pair<std::vector<zone_failover::Place>, zone_failover::Cut>> late_;
   std::vector<std::pair<int, bool>> seen_;
   int step_ = 0;
   ZoneRun run_;
 };
 
-}  // namespace cairnhub::fleet
+}  // namespace cairnhub::cluster
--- a/tests/courses.cpp
+++ b/tests/courses.cpp
@@ -10,10 +10,10 @@
 #include <utility>
 #include <vector>
 
-#include "zones/course.h"
+#include "zone_failover/failover_state_machine.h"
 
 using namespace cairnhub;
-using namespace cairnhub::zones;
+using namespace cairnhub::zone_failover;
 
 namespace {
 
--- a/tests/fleets.cpp
+++ b/tests/fleets.cpp
@@ -13,7 +13,7 @@
 #include <random>
 #include <string>
 
-#include "fleet/rig.h"
+#include "cluster/cluster_harness.h"
 
 namespace {
 
@@ -203,16 +203,16 @@
   const std::string kind = argv[2];
   if (argc > 3 && (kind == "lists" || kind == "lists_before")) {
     char path[4096];
-    cairnhub::fleet::Rig rig(realpath(argv[1], path) ? path : argv[1],
-                             drawn_lists(std::strtoull(argv[3], nullptr, 10), kind == "lists_before"));
+    cairnhub::cluster::Rig rig(realpath(argv[1], path) ? path : argv[1],
+                               drawn_lists(std::strtoull(argv[3], nullptr, 10), kind == "lists_before"));
     return rig.play() ? 0 : 1;
   }
   if (argc > 3 && (kind == "random" || kind == "works")) {
     char path[4096];
     const std::uint64_t seed = std::strtoull(argv[3], nullptr, 10);
     const unsigned stated_ms = argc > 4 ? static_cast<unsigned>(std::atoi(argv[4])) : 0;
-    cairnhub::fleet::Rig rig(realpath(argv[1], path) ? path : argv[1],
-                             kind == "works" ? drawn_works(seed) : drawn(seed, stated_ms));
+    cairnhub::cluster::Rig rig(realpath(argv[1], path) ? path : argv[1],
+                               kind == "works" ? drawn_works(seed) : drawn(seed, stated_ms));
     return rig.play() && rig.clean() ? 0 : 1;
   }
   std::ifstream in(argv[2], std::ios::binary);
@@ -229,6 +229,6 @@
     script.MergeFrom(instead);
   }
   char real[4096];
-  cairnhub::fleet::Rig rig(realpath(argv[1], real) ? real : argv[1], script);
+  cairnhub::cluster::Rig rig(realpath(argv[1], real) ? real : argv[1], script);
   return rig.play() ? 0 : 1;
 }
--- a/tests/golden/consensus.cpp
+++ b/tests/golden/consensus.cpp
@@ -1,7 +1,7 @@
 // What agreement's packets hold, one alternative each.
-#include "accord.pb.h"
 #include "golden/golden.h"
 #include "golden/version.h"
+#include "shared_config.pb.h"
 
 namespace cairnhub::golden {
 
--- a/tests/golden/maintenance.cpp
+++ b/tests/golden/maintenance.cpp
@@ -3,26 +3,26 @@
 #include <iterator>
 
 #include "golden/golden.h"
-#include "upkeep.pb.h"
-#include "upkeep/codec.h"
+#include "maintenance.pb.h"
+#include "maintenance/job_codec.h"
 
 namespace cairnhub::golden {
 
 namespace {
 
-using upkeep::Facts;
-using upkeep::Op;
-using upkeep::Request;
-using upkeep::Step;
+using maintenance::Facts;
+using maintenance::Op;
+using maintenance::Request;
+using maintenance::Step;
 
-constexpr Time kAt = 1'700'000'000'000 * upkeep::kMs;
+constexpr Time kAt = 1'700'000'000'000 * maintenance::kMs;
 constexpr std::uint64_t kJob = 300;
 // In the order of their numbers in the log and the snapshot.
 constexpr Step kSteps[] = {Step::queued,    Step::draining, Step::empty,     Step::at_work,
                            Step::returning, Step::done,     Step::cancelled, Step::lost};
 
-upkeep::Message message() {
-  upkeep::Message message;
+maintenance::Message message() {
+  maintenance::Message message;
   message.clear.emplace();
   message.clear->low = 18;
   message.clear->out = {{"h1", 0}, {"h2", 700}};
@@ -31,7 +31,7 @@
 }
 
 void expect_message(const std::string& bytes) {
-  const auto read = upkeep::decode(bytes);
+  const auto read = maintenance::decode(bytes);
   ASSERT_TRUE(read.has_value());
   ASSERT_TRUE(read->clear.has_value());
   EXPECT_EQ(read->clear->low, 18U);
@@ -149,10 +149,10 @@
   const auto encode = [build] {
     Op op = build();
     op.at = kAt;
-    return upkeep::encode(op);
+    return maintenance::encode(op);
   };
   const auto decode = [build](const std::string& bytes) {
-    const auto read = upkeep::decode_op(bytes);
+    const auto read = maintenance::decode_op(bytes);
     ASSERT_TRUE(read.has_value());
     expect_operation(*read, build());
   };
@@ -225,12 +225,12 @@
   return state.SerializeAsString();
 }
 
-void expect_job(const upkeep::Work& job, int step) {
+void expect_job(const maintenance::Work& job, int step) {
   EXPECT_EQ(job.number, kJob + static_cast<std::uint64_t>(step));
   EXPECT_EQ(job.step, kSteps[step]);
   EXPECT_EQ(job.who, "ann");
   EXPECT_EQ(job.why, "because");
-  EXPECT_EQ(job.since, kAt + step * upkeep::kMs);
+  EXPECT_EQ(job.since, kAt + step * maintenance::kMs);
   EXPECT_TRUE(job.held);
   EXPECT_EQ(job.last, "asked for");
   const Request& asked = job.request;
@@ -240,17 +240,17 @@
   EXPECT_EQ(asked.rack, "r1");
   EXPECT_EQ(asked.zone, "east");
   EXPECT_EQ(asked.region, "north");
-  EXPECT_EQ(asked.earliest, 1 * upkeep::kMs);
-  EXPECT_EQ(asked.latest, 2 * upkeep::kMs);
-  EXPECT_EQ(asked.length, 3 * upkeep::kMs);
+  EXPECT_EQ(asked.earliest, 1 * maintenance::kMs);
+  EXPECT_EQ(asked.latest, 2 * maintenance::kMs);
+  EXPECT_EQ(asked.length, 3 * maintenance::kMs);
   EXPECT_EQ(asked.priority, -4);
   EXPECT_TRUE(asked.emergency);
   EXPECT_EQ(asked.cells, std::vector<int>{5});
 }
 
 void expect_snapshot(const std::string& bytes) {
-  const auto board = upkeep::Works().restore(bytes);
-  const auto* jobs = dynamic_cast<const upkeep::Works*>(board.get());
+  const auto board = maintenance::Works().restore(bytes);
+  const auto* jobs = dynamic_cast<const maintenance::Works*>(board.get());
   ASSERT_NE(jobs, nullptr);
   EXPECT_TRUE(jobs->held());
   EXPECT_EQ(jobs->facts_at(), kAt);
@@ -270,7 +270,7 @@
 }  // namespace
 
 std::vector<Golden> maintenance() {
-  return {{"maintenance.message", [] { return upkeep::encode(message()); }, expect_message},
+  return {{"maintenance.message", [] { return maintenance::encode(message()); }, expect_message},
           operation("request", with_request),
           operation("facts", with_facts),
           operation("step", with_step),
--- a/tests/golden/raft.cpp
+++ b/tests/golden/raft.cpp
@@ -1,10 +1,10 @@
 // Messages of the consensus library, in our form: each type with all fields set, and each as an engine says
 // it.
-#include "accord.pb.h"
-#include "accord/engine.h"
-#include "fleet/accords.h"
+#include "cluster/shared_config_cluster.h"
 #include "golden/golden.h"
 #include "golden/version.h"
+#include "shared_config.pb.h"
+#include "shared_config/raft_node.h"
 
 namespace cairnhub::golden {
 
@@ -65,21 +65,22 @@
 class Voters {
  public:
   Voters() {
-    accord::EngineTerms terms;
+    shared_config::EngineTerms terms;
     terms.snapshot_after = 5;
     terms.snapshot_keeps = 1;
-    std::vector<accord::Voter> voters;
+    std::vector<shared_config::Voter> voters;
     for (const char* name : kNames) {
-      voters.push_back({accord::first_voter_id(name), name, true});
+      voters.push_back({shared_config::first_voter_id(name), name, true});
     }
     // A log that is longer than terms are many: no two numbers in a message are the same.
-    const std::vector<accord::LogEntry> earlier(4, {1, kCommand, accord::encode(accord::Entry())});
-    for (const accord::Voter& voter : voters) {
-      stores_.push_back(std::make_unique<fleet::KeptStore>(voter.id));
-      accord::Engine::bootstrap(*stores_.back(), voters);
+    const std::vector<shared_config::LogEntry> earlier(
+        4, {1, kCommand, shared_config::encode(shared_config::Entry())});
+    for (const shared_config::Voter& voter : voters) {
+      stores_.push_back(std::make_unique<cluster::KeptStore>(voter.id));
+      shared_config::Engine::bootstrap(*stores_.back(), voters);
       stores_.back()->append(2, earlier);
       engines_.push_back(
-          std::make_unique<accord::Engine>(terms, voter.name, *stores_.back(), voter.id, nullptr));
+          std::make_unique<shared_config::Engine>(terms, voter.name, *stores_.back(), voter.id, nullptr));
       engines_.back()->start(now_);
     }
   }
@@ -120,8 +121,8 @@
   // Two at once: the second goes out while the first is not committed.
   void propose_two(int number) {
     for (const char* which : {"first-", "second-"}) {
-      accord::Entry entry;
-      entry.kind = accord::Entry::Kind::enlist;
+      shared_config::Entry entry;
+      entry.kind = shared_config::Entry::Kind::enlist;
       entry.name = which + std::to_string(number);
       EXPECT_TRUE(engines_[static_cast<std::size_t>(leader())]->propose(now_, entry, nullptr));
     }
@@ -130,7 +131,7 @@
 
   void play_for(int ticks) {
     for (int tick = 0; tick < ticks; ++tick) {
-      now_ += accord::EngineTerms{}.tick;
+      now_ += shared_config::EngineTerms{}.tick;
       for (const auto& engine : engines_) {
         engine->tick(now_);
         deliver();
@@ -158,7 +159,7 @@
     }
   }
 
-  void carry(int from, const accord::Engine::Outgoing& message) {
+  void carry(int from, const shared_config::Engine::Outgoing& message) {
     const int to = message.to.back() - '0';
     Packet packet;
     ASSERT_TRUE(packet.ParseFromString(message.bytes));
@@ -181,8 +182,8 @@
 
   Time now_ = 0;
   int cut_off_ = kNobody;
-  std::vector<std::unique_ptr<fleet::KeptStore>> stores_;
-  std::vector<std::unique_ptr<accord::Engine>> engines_;
+  std::vector<std::unique_ptr<cluster::KeptStore>> stores_;
+  std::vector<std::unique_ptr<shared_config::Engine>> engines_;
   std::map<std::uint32_t, std::string> said_;
 };
 
--- a/tests/golden/shared_state.cpp
+++ b/tests/golden/shared_state.cpp
@@ -1,18 +1,18 @@
 // Log entries, versions, snapshots and voters, which are stored and sent alike.
-#include "accord.pb.h"
-#include "accord/versions.h"
-#include "accord/wire.h"
 #include "golden/golden.h"
 #include "golden/version.h"
+#include "shared_config.pb.h"
+#include "shared_config/log_codec.h"
+#include "shared_config/version_history.h"
 
 namespace cairnhub::golden {
 
 namespace {
 
-using accord::Entry;
-using accord::Version;
 using accord::wire::State;
 using accord::wire::Voters;
+using shared_config::Entry;
+using shared_config::Version;
 
 // In the order of their numbers in the log, from 1 on.
 constexpr Entry::Kind kKinds[] = {
@@ -49,11 +49,11 @@
 
 Golden entry(Entry::Kind kind, std::size_t number) {
   const auto decode = [kind](const std::string& bytes) {
-    const auto read = accord::decode_entry(bytes);
+    const auto read = shared_config::decode_entry(bytes);
     ASSERT_TRUE(read.has_value());
     expect_equal(*read, entry_of(kind));
   };
-  return {"shared.entry." + std::to_string(number), [kind] { return accord::encode(entry_of(kind)); },
+  return {"shared.entry." + std::to_string(number), [kind] { return shared_config::encode(entry_of(kind)); },
           decode};
 }
 
@@ -61,7 +61,7 @@
   Version version;
   version.number = 17;
   version.text = rules_text(17);
-  version.hash = accord::hash_of(version.text);
+  version.hash = shared_config::hash_of(version.text);
   version.who = "ann";
   version.why = "because";
   version.id = "p17";
@@ -71,7 +71,7 @@
 
 std::string encoded_version() {
   accord::wire::Version into;
-  accord::put(version_record(), into);
+  shared_config::put(version_record(), into);
   return into.SerializeAsString();
 }
 
@@ -79,7 +79,7 @@
   accord::wire::Version read;
   ASSERT_TRUE(read.ParseFromString(bytes));
   expect_filled(read, 17);
-  const auto taken = accord::take(read);
+  const auto taken = shared_config::take(read);
   ASSERT_TRUE(taken.has_value());
   const Version wanted = version_record();
   EXPECT_EQ(taken->number, wanted.number);
--- a/tests/golden/zones.cpp
+++ b/tests/golden/zones.cpp
@@ -1,14 +1,14 @@
 // Load reports of zones, through the package's codec.
 #include "golden/golden.h"
-#include "zones/report.h"
+#include "zone_failover/zone_report.h"
 
 namespace cairnhub::golden {
 
 namespace {
 
 // Fractions that a float holds whole: what is read is what was written.
-zones::Report report() {
-  zones::Report report;
+zone_failover::Report report() {
+  zone_failover::Report report;
   report.home = "east";
   report.wanted = 1234.5;
   report.far = 12.25;
@@ -17,7 +17,7 @@
   return report;
 }
 
-void expect_reading(const zones::Reading& read, const zones::Reading& wanted) {
+void expect_reading(const zone_failover::Reading& read, const zone_failover::Reading& wanted) {
   EXPECT_EQ(read.sent, wanted.sent);
   EXPECT_EQ(read.returned, wanted.returned);
   EXPECT_EQ(read.refused, wanted.refused);
@@ -31,9 +31,9 @@
 }
 
 void expect_report(const std::string& bytes) {
-  const auto read = zones::decode(bytes);
+  const auto read = zone_failover::decode(bytes);
   ASSERT_TRUE(read.has_value());
-  const zones::Report wanted = report();
+  const zone_failover::Report wanted = report();
   EXPECT_EQ(read->home, wanted.home);
   EXPECT_EQ(read->wanted, wanted.wanted);
   EXPECT_EQ(read->far, wanted.far);
@@ -47,7 +47,7 @@
 }  // namespace
 
 std::vector<Golden> zones() {
-  return {{"zones.report", [] { return zones::encode(report()); }, expect_report}};
+  return {{"zones.report", [] { return zone_failover::encode(report()); }, expect_report}};
 }
 
 }  // namespace cairnhub::golden
--- a/tests/grounds.cpp
+++ b/tests/grounds.cpp
@@ -11,11 +11,11 @@
 #include <string>
 #include <vector>
 
-#include "accord/leases.h"
 #include "explore.h"
+#include "shared_config/leases.h"
 
 using namespace cairnhub;
-using namespace cairnhub::accord;
+using namespace cairnhub::shared_config;
 
 namespace {
 
--- a/tests/kept.cpp
+++ b/tests/kept.cpp
@@ -1,8 +1,6 @@
 // A voter's store under every fault: each byte of it turned, cut off after each byte, the process killed at
 // each byte of a write, the disk full at each byte. What is read afterwards is what was written, or the store
 // is set aside.
-#include "accord/kept.h"
-
 #include <sys/resource.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -16,7 +14,9 @@
 #include <map>
 #include <string>
 
-using namespace cairnhub::accord;
+#include "shared_config/sqlite_store.h"
+
+using namespace cairnhub::shared_config;
 namespace fs = std::filesystem;
 
 namespace {
--- a/tests/leases.cpp
+++ b/tests/leases.cpp
@@ -4,7 +4,7 @@
 // meet.
 //
 // `leases break N` takes defence N out and must find a state where they don't.
-#include "accord/leases.h"
+#include "shared_config/leases.h"
 
 #include <cstdio>
 #include <cstdlib>
@@ -16,7 +16,7 @@
 #include "explore.h"
 
 using namespace cairnhub;
-using namespace cairnhub::accord;
+using namespace cairnhub::shared_config;
 
 namespace {
 
--- a/tests/mangled.cpp
+++ b/tests/mangled.cpp
@@ -6,13 +6,13 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "broker/members.h"
-#include "fronts/platform/admit.h"
-#include "hosts/frames/frame.h"
-#include "hosts/frames/sender.h"
+#include "backend/framed/frame_codec.h"
+#include "backend/framed/framed_client.h"
+#include "dispatch/endpoint_registry.h"
+#include "frontend/platform/request_parser.h"
 
 using namespace cairnhub;
-using namespace cairnhub::broker;
+using namespace cairnhub::dispatch;
 
 namespace {
 
@@ -64,7 +64,7 @@
 
 int main() {
   tried("frame", "Em1.3 hit 1840277719 inflight=7,util=0.61\n5be2a07c", 20000,
-        [](const std::string& b) { return frame::read(b).has_value(); });
+        [](const std::string& b) { return backend::framed::read(b).has_value(); });
 
   RequestPolicy listed(1);
   Members members(listed, [](EndpointId, const Members::Entry&) {});
@@ -91,11 +91,11 @@
     RequestPolicy d(1);
     settings::apply(s, d);
     Book book(d, 1 << 26);
-    Sender sender(
+    backend::Sender sender(
         base, {32, 1, kSecond, kSecond, 8}, [](Attempt&, const Result&) {}, [] {});
     Route route(
         base, d, book, sender, [](EndpointId) {}, [] { return false; });
-    Admit admit(s, book, route);
+    frontend::platform::Admit admit(s, book, route);
     int n = 0;
     tried("request",
           "{\"buckets\":[{\"bucket\":3,\"part\":0.5,\"effort\":9000},{\"bucket\":9,\"part\":0.5}],\"body\":"
--- a/tests/membership_scenarios.cpp
+++ b/tests/membership_scenarios.cpp
@@ -6,10 +6,10 @@
 #include <map>
 #include <string>
 
-#include "fleet/membership_cluster.h"
+#include "cluster/membership_cluster.h"
 
 using namespace cairnhub;
-using namespace cairnhub::fleet;
+using namespace cairnhub::cluster;
 using membership::MemberState;
 
 namespace {
--- a/tests/phases.cpp
+++ b/tests/phases.cpp
@@ -10,10 +10,10 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "phases/plan.h"
+#include "two_phase/query_plan.h"
 
 using namespace cairnhub;
-using namespace cairnhub::phases;
+using namespace cairnhub::two_phase;
 
 namespace {
 
@@ -73,7 +73,7 @@
   int k;
   std::vector<int> version;  // the hosts' present one
   std::unique_ptr<Plan> plan;
-  phases::Query query;
+  two_phase::Query query;
   struct Out {
     int round, block;
   };
--- a/tests/plans.cpp
+++ b/tests/plans.cpp
@@ -5,10 +5,10 @@
 #include <string>
 #include <vector>
 
-#include "phases/plan.h"
+#include "two_phase/query_plan.h"
 
 using namespace cairnhub;
-using namespace cairnhub::phases;
+using namespace cairnhub::two_phase;
 
 namespace {
 
@@ -27,7 +27,7 @@
   }
   void asks(int blocks, int left_ms, std::optional<std::size_t> limit = {}, int match_ms = 0,
             int fetch_ms = 0) {
-    phases::Query q;
+    two_phase::Query q;
     for (int b = 0; b < blocks; ++b) q.blocks.push_back({b, 1.0 / blocks});
     q.text = "q", q.left = left_ms * kMs, q.limit = limit;
     if (match_ms) q.match_budget = match_ms * kMs;
--- a/tests/stored/content.cpp
+++ b/tests/stored/content.cpp
@@ -3,17 +3,17 @@
 #include <string>
 #include <utility>
 
-#include "upkeep/works.h"
+#include "maintenance/job_queue.h"
 
 namespace cairnhub::stored {
 
 namespace {
 
-using accord::Entry;
+using shared_config::Entry;
 using Kind = Entry::Kind;
 using Entries = std::vector<Entry>;
-using upkeep::kMs;
-using upkeep::Step;
+using maintenance::kMs;
+using maintenance::Step;
 
 constexpr Time kWallClock = 1'700'000'000'000 * kMs;
 constexpr int kPairsOfNodes = 10;
@@ -77,13 +77,13 @@
   return made;
 }
 
-Entry job_entry(const std::string& id, upkeep::Op op, int seconds) {
+Entry job_entry(const std::string& id, maintenance::Op op, int seconds) {
   op.at = kWallClock + seconds * kSecond;
-  return entry(Kind::board, id, upkeep::encode(op));
+  return entry(Kind::board, id, maintenance::encode(op));
 }
 
 Entry facts(const std::string& id, bool all_warm, int seconds) {
-  upkeep::Facts seen;
+  maintenance::Facts seen;
   seen.revision = 41;
   seen.cells = kPairsOfNodes * kCellsApart;
   seen.width = 2;
@@ -96,51 +96,51 @@
   seen.zones["east"] = {"north", true, 120.5, 1000};
   seen.zones["west"] = {"south", false, 10.25, 0};
   seen.voters = {"b1", "b2", "b3"};
-  upkeep::Op op;
+  maintenance::Op op;
   op.facts = seen;
   return job_entry(id, op, seconds);
 }
 
-upkeep::Request machine(int number) {
-  upkeep::Request request;
+maintenance::Request machine(int number) {
+  maintenance::Request request;
   request.machine = "m" + std::to_string(number);
   request.nodes = {"a" + std::to_string(number)};
   request.length = 600 * kSecond;
   return request;
 }
 
-Entry request(const std::string& id, const upkeep::Request& wanted, int seconds) {
-  upkeep::Op op;
+Entry request(const std::string& id, const maintenance::Request& wanted, int seconds) {
+  maintenance::Op op;
   op.request = wanted;
   return job_entry(id, op, seconds);
 }
 
 Entry move(const std::string& id, std::uint64_t job, Step from, Step to, int seconds) {
-  upkeep::Op op;
-  op.step = upkeep::Op::Move{job, from, to};
+  maintenance::Op op;
+  op.step = maintenance::Op::Move{job, from, to};
   return job_entry(id, op, seconds);
 }
 
 Entry hold(const std::string& id, std::uint64_t job, int seconds) {
-  upkeep::Op op;
+  maintenance::Op op;
   op.hold = job;
   return job_entry(id, op, seconds);
 }
 
 Entry resume(const std::string& id, std::uint64_t job, int seconds) {
-  upkeep::Op op;
+  maintenance::Op op;
   op.resume = job;
   return job_entry(id, op, seconds);
 }
 
 Entry cancel(const std::string& id, std::uint64_t job, int seconds) {
-  upkeep::Op op;
+  maintenance::Op op;
   op.cancel = job;
   return job_entry(id, op, seconds);
 }
 
 Entry done(const std::string& id, std::uint64_t job, int seconds) {
-  upkeep::Op op;
+  maintenance::Op op;
   op.done = job;
   return job_entry(id, op, seconds);
 }
@@ -174,7 +174,7 @@
 }
 
 Entries jobs_asked_for() {
-  upkeep::Request planned = machine(0);
+  maintenance::Request planned = machine(0);
   planned.rack = "r1";
   planned.earliest = kWallClock + 3600 * kSecond;
   planned.latest = kWallClock + 86400 * kSecond;
@@ -183,7 +183,7 @@
   for (int number = 1; number <= 7; ++number) {
     all.push_back(request("job-" + std::to_string(number + 1), machine(number), 2 + number));
   }
-  upkeep::Request urgent = machine(8);
+  maintenance::Request urgent = machine(8);
   urgent.nodes = {"a8", "b8"};
   urgent.brokers = {"b3"};
   urgent.zone = "elsewhere";
--- a/tests/stored/content.h
+++ b/tests/stored/content.h
@@ -3,13 +3,13 @@
 #pragma once
 #include <vector>
 
-#include "accord/versions.h"
+#include "shared_config/version_history.h"
 
 namespace cairnhub::stored {
 
-std::vector<accord::Entry> entries_before_snapshot();
-std::vector<accord::Entry> entries_after_snapshot();
-std::vector<accord::Entry> entries_to_append();
+std::vector<shared_config::Entry> entries_before_snapshot();
+std::vector<shared_config::Entry> entries_after_snapshot();
+std::vector<shared_config::Entry> entries_to_append();
 
 // The text and number that the fixture keeps as this broker's own baseline, beside the log.
 extern const char* const kKeptBaseline;
--- a/tests/stored/dump.cpp
+++ b/tests/stored/dump.cpp
@@ -5,15 +5,15 @@
 #include <sstream>
 #include <string_view>
 
-#include "accord.pb.h"
-#include "upkeep/works.h"
+#include "maintenance/job_queue.h"
+#include "shared_config.pb.h"
 
 namespace cairnhub::stored {
 
 namespace {
 
-using accord::Entry;
-using upkeep::kMs;
+using maintenance::kMs;
+using shared_config::Entry;
 
 constexpr unsigned short kCommand = 1;  // entry types of the consensus library
 constexpr unsigned short kBarrier = 2;
@@ -101,7 +101,7 @@
   return at < std::size(kLabels) ? kLabels[at] : "?";
 }
 
-std::string dump_request(const upkeep::Request& request) {
+std::string dump_request(const maintenance::Request& request) {
   Lines out;
   out.text("machine", request.machine).list("nodes", request.nodes).list("brokers", request.brokers);
   out.list("cells", request.cells);
@@ -111,10 +111,10 @@
   return out.str();
 }
 
-std::string dump_facts(const upkeep::Facts& facts) {
+std::string dump_facts(const maintenance::Facts& facts) {
   Lines out;
   out.number("revision", facts.revision).number("cells", facts.cells).number("width", facts.width);
-  const upkeep::Terms& terms = facts.terms;
+  const maintenance::Terms& terms = facts.terms;
   out.list("most out at once; of a rack, zone, region; fewest replicas",
            std::vector<int>{terms.at_once, terms.a_rack, terms.a_zone, terms.a_region, terms.holders_least});
   out.number("share of a zone that stays", terms.zone_keep).number("headroom", terms.headroom);
@@ -133,7 +133,7 @@
 }
 
 std::string dump_operation(const std::string& text) {
-  const auto op = upkeep::decode_op(text);
+  const auto op = maintenance::decode_op(text);
   if (!op) {
     return "  UNREADABLE\n";
   }
@@ -147,7 +147,7 @@
   }
   if (op->step) {
     out.number("of job", op->step->work);
-    out.text("from", upkeep::name_of(op->step->from)).text("to", upkeep::name_of(op->step->to));
+    out.text("from", maintenance::name_of(op->step->from)).text("to", maintenance::name_of(op->step->to));
   }
   const std::pair<const char*, std::optional<std::uint64_t>> said[] = {
       {"hold", op->hold}, {"resume", op->resume}, {"cancel", op->cancel}, {"done", op->done}};
@@ -160,7 +160,7 @@
 }
 
 std::string dump_entry(const std::string& bytes) {
-  const auto entry = accord::decode_entry(bytes);
+  const auto entry = shared_config::decode_entry(bytes);
   if (!entry) {
     return "  UNREADABLE\n";
   }
@@ -175,7 +175,7 @@
   return out.str();
 }
 
-std::string dump_logged(const accord::LogEntry& entry) {
+std::string dump_logged(const shared_config::LogEntry& entry) {
   if (entry.type == kCommand) {
     return dump_entry(entry.data);
   }
@@ -185,7 +185,7 @@
   return "  bytes " + bytes + "\n";
 }
 
-std::string dump_request_class(const std::string& name, const accord::OpRule& rule) {
+std::string dump_request_class(const std::string& name, const shared_config::OpRule& rule) {
   Lines out;
   out.text("request class", name).number(" served", rule.served).time(" longest", rule.time_most);
   out.number(" most held", rule.held_most).time(" latency objective", rule.budget_most);
@@ -195,10 +195,10 @@
 
 // The rules that a text says, and that they lead to that text again.
 std::string dump_rules(const std::string& text) {
-  const accord::Rules rules = accord::parse_rules(text, "stored");
+  const shared_config::Rules rules = shared_config::parse_rules(text, "stored");
   Lines out;
-  out.text("hash of the text", accord::hash_of(text));
-  out.number("written the same again", accord::text_of(rules) == text);
+  out.text("hash of the text", shared_config::hash_of(text));
+  out.number("written the same again", shared_config::text_of(rules) == text);
   for (const auto& [name, rule] : rules.op_types) {
     out.raw(dump_request_class(name, rule));
   }
@@ -222,8 +222,8 @@
 }
 
 std::string dump_jobs(const std::string& bytes) {
-  const auto board = upkeep::Works().restore(bytes);
-  const auto* jobs = dynamic_cast<const upkeep::Works*>(board.get());
+  const auto board = maintenance::Works().restore(bytes);
+  const auto* jobs = dynamic_cast<const maintenance::Works*>(board.get());
   if (!jobs) {
     return "jobs UNREADABLE\n";
   }
@@ -233,7 +233,7 @@
   out.list("nodes withheld beforehand", jobs->withheld_beforehand());
   for (const auto& [number, job] : jobs->all()) {
     out.title("job " + std::to_string(number)).number("number", job.number);
-    out.text("step", upkeep::name_of(job.step)).time("since", job.since).number("held", job.held);
+    out.text("step", maintenance::name_of(job.step)).time("since", job.since).number("held", job.held);
     out.text("who", job.who).text("why", job.why).text("last", job.last);
     out.raw(dump_request(job.request));
   }
@@ -275,7 +275,7 @@
   return out + dump_jobs(state.board());
 }
 
-std::string dump_snapshot(const accord::Snapshot& snapshot) {
+std::string dump_snapshot(const shared_config::Snapshot& snapshot) {
   Lines out;
   out.title("snapshot").number("index", snapshot.index).number("term", snapshot.term);
   out.number("configuration index", snapshot.configuration_index);
@@ -291,8 +291,8 @@
 
 }  // namespace
 
-std::string dump_store(const accord::Kept& store) {
-  const accord::Stored& held = store.loaded();
+std::string dump_store(const shared_config::Kept& store) {
+  const shared_config::Stored& held = store.loaded();
   Lines out;
   out.title("store").number("voter id", held.voter_id).number("term", held.term).number("vote", held.vote);
   std::string baseline;
@@ -301,7 +301,7 @@
     out.number("own baseline", baseline_number).text("text", baseline).raw(dump_rules(baseline));
   }
   std::uint64_t index = held.first;
-  for (const accord::LogEntry& entry : held.entries) {
+  for (const shared_config::LogEntry& entry : held.entries) {
     out.title("entry " + std::to_string(index)).number("term", entry.term).number("type", entry.type);
     out.raw(dump_logged(entry));
     ++index;
@@ -309,12 +309,12 @@
   return out.str() + (held.snapshot ? dump_snapshot(*held.snapshot) : "no snapshot\n");
 }
 
-std::string dump_state(const accord::Versions& versions) {
+std::string dump_state(const shared_config::Versions& versions) {
   Lines out;
   out.title("state machine").number("newest", versions.newest()).number("in force", versions.in_force());
   const std::string bytes = versions.snapshot();
   out.raw(dump_snapshot_state(bytes));
-  out.title("as bytes").number("count", bytes.size()).text("hash", accord::hash_of(bytes));
+  out.title("as bytes").number("count", bytes.size()).text("hash", shared_config::hash_of(bytes));
   return out.str();
 }
 
--- a/tests/stored/dump.h
+++ b/tests/stored/dump.h
@@ -3,14 +3,14 @@
 #pragma once
 #include <string>
 
-#include "accord/kept.h"
-#include "accord/versions.h"
+#include "shared_config/sqlite_store.h"
+#include "shared_config/version_history.h"
 
 namespace cairnhub::stored {
 
 // Term, vote, each log entry decoded, the snapshot decoded.
-std::string dump_store(const accord::Kept& store);
+std::string dump_store(const shared_config::Kept& store);
 // What the entries have led to.
-std::string dump_state(const accord::Versions& versions);
+std::string dump_state(const shared_config::Versions& versions);
 
 }  // namespace cairnhub::stored
--- a/tests/stored/stores.cpp
+++ b/tests/stored/stores.cpp
@@ -2,17 +2,17 @@
 
 #include <stdexcept>
 
-#include "accord/engine.h"
+#include "maintenance/job_queue.h"
+#include "shared_config/raft_node.h"
 #include "stored/content.h"
 #include "stored/dump.h"
-#include "upkeep/works.h"
 
 namespace cairnhub::stored {
 
 namespace {
 
-using accord::Entry;
-using accord::LogEntry;
+using shared_config::Entry;
+using shared_config::LogEntry;
 
 constexpr unsigned short kCommand = 1;  // entry types of the consensus library
 constexpr unsigned short kBarrier = 2;
@@ -27,7 +27,7 @@
 std::vector<LogEntry> as_log(const std::vector<Entry>& entries, std::uint64_t term) {
   std::vector<LogEntry> log;
   for (const Entry& entry : entries) {
-    log.push_back({term, kCommand, accord::encode(entry)});
+    log.push_back({term, kCommand, shared_config::encode(entry)});
   }
   return log;
 }
@@ -38,13 +38,13 @@
   }
 }
 
-std::uint64_t next_index(const accord::Stored& held) { return held.first + held.entries.size(); }
+std::uint64_t next_index(const shared_config::Stored& held) { return held.first + held.entries.size(); }
 
 }  // namespace
 
-std::unique_ptr<accord::Kept> open_store(const std::string& folder) {
+std::unique_ptr<shared_config::Kept> open_store(const std::string& folder) {
   std::string set_aside;
-  auto store = accord::Kept::open(folder, accord::first_voter_id(kBroker), &set_aside);
+  auto store = shared_config::Kept::open(folder, shared_config::first_voter_id(kBroker), &set_aside);
   if (!set_aside.empty()) {
     throw std::runtime_error("the store was taken for damaged: " + set_aside);
   }
@@ -53,17 +53,17 @@
 
 void write_log_alone(const std::string& folder) {
   const auto store = open_store(folder);
-  const std::vector<accord::Voter> voters = {{accord::first_voter_id("b1"), "b1", true},
-                                             {accord::first_voter_id("b2"), "b2", true},
-                                             {accord::first_voter_id("b3"), "b3", false}};
-  require(accord::Engine::bootstrap(*store, voters), "the first entry");
+  const std::vector<shared_config::Voter> voters = {{shared_config::first_voter_id("b1"), "b1", true},
+                                                    {shared_config::first_voter_id("b2"), "b2", true},
+                                                    {shared_config::first_voter_id("b3"), "b3", false}};
+  require(shared_config::Engine::bootstrap(*store, voters), "the first entry");
   std::vector<LogEntry> log = as_log(entries_before_snapshot(), 1);
   log.push_back({kLaterTerm, kBarrier, std::string(8, '\0')});
   for (LogEntry& entry : as_log(entries_after_snapshot(), kLaterTerm)) {
     log.push_back(std::move(entry));
   }
   require(store->set_term(kLaterTerm), "a term");
-  require(store->set_vote(accord::first_voter_id("b2")), "a vote");
+  require(store->set_vote(shared_config::first_voter_id("b2")), "a vote");
   require(store->append(2, log), "entries");
   store->keep_ground(kKeptBaseline, kKeptBaselineNumber);
 }
@@ -71,8 +71,9 @@
 void write_snapshot_and_tail(const std::string& folder) {
   {
     const auto store = open_store(folder);
-    require(accord::Engine::bootstrap(*store, {{accord::first_voter_id(kBroker), kBroker, true}}),
-            "the voter");
+    require(
+        shared_config::Engine::bootstrap(*store, {{shared_config::first_voter_id(kBroker), kBroker, true}}),
+        "the voter");
     store->keep_ground(kKeptBaseline, kKeptBaselineNumber);
   }
   const std::vector<Entry> before = entries_before_snapshot();
@@ -84,9 +85,9 @@
   run_engine(folder, all, static_cast<unsigned>(before.size()) + first_two);
 }
 
-accord::Versions replay(const accord::Kept& store, Numbers* numbers) {
-  const accord::Stored& held = store.loaded();
-  accord::Versions versions(std::make_shared<upkeep::Works>());
+shared_config::Versions replay(const shared_config::Kept& store, Numbers* numbers) {
+  const shared_config::Stored& held = store.loaded();
+  shared_config::Versions versions(std::make_shared<maintenance::Works>());
   if (held.snapshot) {
     require(versions.restore(held.snapshot->data), "its snapshot");
   }
@@ -97,9 +98,9 @@
     if (logged.type != kCommand || is_in_snapshot) {
       continue;
     }
-    const auto entry = accord::decode_entry(logged.data);
+    const auto entry = shared_config::decode_entry(logged.data);
     require(entry.has_value(), "an entry");
-    const accord::Verdict verdict = versions.apply(*entry);
+    const shared_config::Verdict verdict = versions.apply(*entry);
     if (numbers) {
       numbers->push_back(verdict.number);
     }
@@ -109,15 +110,15 @@
 
 void append_to_log_alone(const std::string& folder) {
   const auto store = open_store(folder);
-  const accord::Stored& held = store->loaded();
+  const shared_config::Stored& held = store->loaded();
   const std::uint64_t next = next_index(held);
   const std::vector<LogEntry> log = as_log(entries_to_append(), kAppendedTerm);
   require(store->set_term(kAppendedTerm), "a later term");
-  require(store->set_vote(accord::first_voter_id("b3")), "a later vote");
+  require(store->set_vote(shared_config::first_voter_id("b3")), "a later vote");
   require(store->append(next, {{kAppendedTerm, kCommand, "to be cut off"}}), "an entry");
   require(store->truncate(next), "cutting off");
   require(store->append(next, log), "further entries");
-  accord::Versions versions = replay(*store);
+  shared_config::Versions versions = replay(*store);
   for (const Entry& entry : entries_to_append()) {
     versions.apply(entry);
   }
@@ -128,10 +129,11 @@
 
 EngineRun run_engine(const std::string& folder, const std::vector<Entry>& entries, unsigned snapshot_after) {
   const auto store = open_store(folder);
-  accord::EngineTerms terms;
+  shared_config::EngineTerms terms;
   terms.snapshot_after = snapshot_after == 0 ? kNoSnapshot : snapshot_after;
   terms.snapshot_keeps = kEntriesKeptBelowSnapshot;
-  accord::Engine engine(terms, kBroker, *store, kEngineSeed, nullptr, std::make_shared<upkeep::Works>());
+  shared_config::Engine engine(terms, kBroker, *store, kEngineSeed, nullptr,
+                               std::make_shared<maintenance::Works>());
   Time now = 0;
   EngineRun run;
   run.is_broken = !engine.start(now);
@@ -140,9 +142,10 @@
     engine.tick(now);
   }
   for (const Entry& entry : entries) {
-    const bool is_taken = engine.propose(now, entry, [&](const std::optional<accord::Verdict>& verdict) {
-      run.numbers.push_back(verdict ? verdict->number : 0);
-    });
+    const bool is_taken =
+        engine.propose(now, entry, [&](const std::optional<shared_config::Verdict>& verdict) {
+          run.numbers.push_back(verdict ? verdict->number : 0);
+        });
     require(is_taken, "a proposal");
     engine.turn(now);
   }
--- a/tests/stored/stores.h
+++ b/tests/stored/stores.h
@@ -7,12 +7,13 @@
 #include <string>
 #include <vector>
 
-#include "accord/kept.h"
-#include "accord/versions.h"
+#include "shared_config/sqlite_store.h"
+#include "shared_config/version_history.h"
 
 namespace cairnhub::stored {
 
-std::unique_ptr<accord::Kept> open_store(const std::string& folder);  // throws where it would be set aside
+std::unique_ptr<shared_config::Kept> open_store(
+    const std::string& folder);  // throws where it would be set aside
 
 void write_log_alone(const std::string& folder);
 void write_snapshot_and_tail(const std::string& folder);
@@ -21,7 +22,7 @@
 using Numbers = std::vector<std::uint64_t>;
 
 // The state machine after the stored snapshot, if any, and the stored log.
-accord::Versions replay(const accord::Kept& store, Numbers* numbers = nullptr);
+shared_config::Versions replay(const shared_config::Kept& store, Numbers* numbers = nullptr);
 
 // Goes on as a follower would: a later term, a vote, entries cut off and written anew, a snapshot.
 void append_to_log_alone(const std::string& folder);
@@ -32,7 +33,7 @@
   Numbers numbers;
   bool is_broken = false;
 };
-EngineRun run_engine(const std::string& folder, const std::vector<accord::Entry>& entries,
+EngineRun run_engine(const std::string& folder, const std::vector<shared_config::Entry>& entries,
                      unsigned snapshot_after);
 
 }  // namespace cairnhub::stored
--- a/tests/traces.cpp
+++ b/tests/traces.cpp
@@ -3,7 +3,7 @@
 #include <functional>
 
 #include "policy/request_class_limiter.h"
-#include "story.h"
+#include "scenario.h"
 
 namespace cairnhub {
 namespace {
--- a/tests/upkeep.cpp
+++ b/tests/upkeep.cpp
@@ -9,12 +9,12 @@
 #include <random>
 #include <string>
 
-#include "fleet/work_world.h"
-#include "upkeep/conduct.h"
-#include "upkeep/plan.h"
+#include "cluster/work_world.h"
+#include "maintenance/job_scheduler.h"
+#include "maintenance/maintenance_controller.h"
 
 using namespace cairnhub;
-using namespace cairnhub::upkeep;
+using namespace cairnhub::maintenance;
 
 namespace {
 
@@ -30,12 +30,12 @@
 }
 
 struct Desk {
-  accord::Versions book{std::make_shared<Works>()};
+  shared_config::Versions book{std::make_shared<Works>()};
   Time wall = 1'000'000 * kSecond;
   const Works& works() const { return static_cast<const Works&>(*book.board()); }
-  accord::Verdict say(Op op, const std::string& who = "ann") {
-    accord::Entry e;
-    e.kind = accord::Entry::Kind::board, e.who = who, e.why = "story";
+  shared_config::Verdict say(Op op, const std::string& who = "ann") {
+    shared_config::Entry e;
+    e.kind = shared_config::Entry::Kind::board, e.who = who, e.why = "story";
     op.at = wall;
     e.text = encode(op);
     return book.apply(e);
@@ -45,15 +45,15 @@
     op.facts = f;
     say(op, "upkeep");
   }
-  accord::Verdict ask(const std::string& machine, std::vector<std::string> nodes,
-                      Time length = 1800 * kSecond, Time latest = kNever, int priority = 0) {
+  shared_config::Verdict ask(const std::string& machine, std::vector<std::string> nodes,
+                             Time length = 1800 * kSecond, Time latest = kNever, int priority = 0) {
     Op op;
     op.request.emplace();
     op.request->machine = machine, op.request->nodes = std::move(nodes), op.request->length = length;
     op.request->latest = latest, op.request->priority = priority;
     return say(op);
   }
-  accord::Verdict step(std::uint64_t work, Step to) {
+  shared_config::Verdict step(std::uint64_t work, Step to) {
     const auto it = works().all().find(work);
     Op op;
     op.step = Op::Move{work, it == works().all().end() ? Step::queued : it->second.step, to};
@@ -61,7 +61,7 @@
   }
 };
 
-void show(const char* what, const accord::Verdict& v) {
+void show(const char* what, const shared_config::Verdict& v) {
   std::printf("%s: %s\n", what,
               v.number ? ("taken, " + std::to_string(v.number)).c_str() : v.refused.c_str());
 }
@@ -272,7 +272,7 @@
     const auto complain = [&](const char* what) { return std::printf("seed %d: %s\n", seed, what), 1; };
     for (int k = 0; k < 150; ++k) {
       d.wall += below(100) * kSecond;
-      accord::Verdict v;
+      shared_config::Verdict v;
       std::uint64_t begun = 0;
       const std::uint64_t some =
           1 + static_cast<std::uint64_t>(below(static_cast<unsigned>(d.works().all().size() + 1)));
@@ -366,12 +366,12 @@
 // The deciding classes in a seeded world of brokers, leases and hosts; `without` a defence it must see the
 // harm.
 int in_a_world(int runs, int without) {
-  cairnhub::fleet::WorkWorldSize size;
+  cairnhub::cluster::WorkWorldSize size;
   size.brokers = 12, size.hosts = 24, size.zones = 3, size.racks = 8, size.works = 10, size.at_once = 3;
   int reached = 0, below = 0, cold = 0, open = 0, done = 0;
   for (int seed = 1; seed <= runs; ++seed) {
-    cairnhub::fleet::WorkWorld world(static_cast<std::uint64_t>(seed), size, cairnhub::fleet::Way::planned,
-                                     without);
+    cairnhub::cluster::WorkWorld world(static_cast<std::uint64_t>(seed), size,
+                                       cairnhub::cluster::Way::planned, without);
     const auto run = world.play();
     if (!without && (run.reached || run.below || run.cold || run.open))
       std::printf("seed %d: reached %d, below %d, over while cold %d, open %d: %s\n", seed, run.reached,
--- a/tests/works.cpp
+++ b/tests/works.cpp
@@ -11,12 +11,12 @@
 #include <string>
 #include <vector>
 
-#include "accord/leases.h"
 #include "explore.h"
-#include "upkeep/conduct.h"
+#include "maintenance/maintenance_controller.h"
+#include "shared_config/leases.h"
 
 using namespace cairnhub;
-using namespace cairnhub::accord;
+using namespace cairnhub::shared_config;
 
 namespace {
 
@@ -35,13 +35,13 @@
   t.stated = 4, t.drift = 0;  // a span of 2 steps
   return t;
 }
-upkeep::ConductTerms conduct_terms() {
-  upkeep::ConductTerms t;
+maintenance::ConductTerms conduct_terms() {
+  maintenance::ConductTerms t;
   t.longest_send = broken == 2 ? 0 : kLongest, t.drift = 0, t.facts_every = 0;
   return t;
 }
-upkeep::Facts facts() {
-  upkeep::Facts f;
+maintenance::Facts facts() {
+  maintenance::Facts f;
   f.cells = 2, f.width = 2, f.terms.holders_least = 1;
   f.terms.zone_keep = 0, f.terms.around = 0;
   f.nodes["n"] = {0, "", true, true}, f.nodes["m"] = {1, "", true, true};
@@ -70,17 +70,17 @@
   int asked[kBrokersMost] = {0, 0}, sent[kBrokersMost] = {0, 0};
   Time out_since[kBrokersMost] = {0, 0};  // a part at the node; 0: none
   Leases leader{lease_terms()};
-  upkeep::Conduct conduct{conduct_terms(), "v1"};
+  maintenance::Conduct conduct{conduct_terms(), "v1"};
   int leaders_gone = 0;
   std::uint64_t force = 0, force_ground = 0;  // decided by the leader, not yet committed
   std::optional<Entry> said;                  // by the conduct, not yet committed
   std::vector<std::pair<int, Ask>> asks;
   std::vector<std::pair<int, Grant>> grants;
-  std::vector<std::pair<int, upkeep::Clear>> clears;
+  std::vector<std::pair<int, maintenance::Clear>> clears;
 
   const Versions& versions() const { return books[static_cast<std::size_t>(book)]; }
-  const upkeep::Work& work() const {
-    return static_cast<const upkeep::Works&>(*versions().board()).all().begin()->second;
+  const maintenance::Work& work() const {
+    return static_cast<const maintenance::Works&>(*versions().board()).all().begin()->second;
   }
   std::size_t under_way() const { return asks.size() + grants.size() + clears.size(); }
   bool allowed(std::size_t i) const {  // to send to the node, as the broker looks at its clock
@@ -112,7 +112,7 @@
     return k;
   }
   bool good() const {
-    if (work().step != upkeep::Step::at_work) return true;
+    if (work().step != maintenance::Step::at_work) return true;
     for (std::size_t i = 0; i < brokers; ++i)
       if (out_since[i] || allowed(i)) return false;
     return true;
@@ -150,7 +150,7 @@
     const auto& acting = *s.holders[i].acting(s.now);
     if (acting.low && acting.rules->at_work.count("n") && s.under_way() < kOnTheirWay) {
       State& n = next();
-      upkeep::Clear c;
+      maintenance::Clear c;
       c.low = acting.low, c.out["n"] = broken == 1 ? 0 : n.out_since[i] != 0;
       n.clears.emplace_back(static_cast<int>(i), c);
     }
@@ -199,7 +199,7 @@
   }
   if (!s.said) {
     State& n = next();
-    upkeep::Seen seen;
+    maintenance::Seen seen;
     seen.facts = facts(), seen.held = n.leader.held();
     n.said = n.conduct.lead(n.now, 0, n.versions(), seen);
     if (!n.said && n.key() == s.key()) all.pop_back();
@@ -211,7 +211,7 @@
   if (s.leaders_gone < leaders) {  // another leads, and knows the log alone
     State& n = next();
     ++n.leaders_gone, n.said.reset(), n.force = n.force_ground = 0;
-    n.conduct = upkeep::Conduct(conduct_terms(), "v1");
+    n.conduct = maintenance::Conduct(conduct_terms(), "v1");
     n.leader = Leases(lease_terms());
     n.leader.leads(n.now, 1, kVoters, "v1");
   }
@@ -228,7 +228,7 @@
     askings = std::atoi(argv[2]), sends = std::atoi(argv[3]), leaders = std::atoi(argv[4]);
     end_at = std::atoll(argv[5]);
   }
-  books.emplace_back(std::make_shared<upkeep::Works>());
+  books.emplace_back(std::make_shared<maintenance::Works>());
   State first;
   const auto begun = [&](Entry e) { first.book = book_after(first.book, std::move(e)); };
   for (std::size_t i = 0; i < brokers; ++i) {
@@ -238,19 +238,19 @@
   }
   Entry e;
   e.kind = Entry::Kind::board;
-  upkeep::Op op;
+  maintenance::Op op;
   op.facts = facts();
-  e.text = upkeep::encode(op);
+  e.text = maintenance::encode(op);
   begun(e);
   op.facts.reset();
   op.request.emplace();
   op.request->machine = "machine", op.request->nodes = {"n"}, op.request->length = kSecond;
-  e.text = upkeep::encode(op);
+  e.text = maintenance::encode(op);
   begun(e);
   first.leader.leads(first.now - lease_terms().span(), 1, kVoters, "v1");
   bool handed = false, by_word = false, by_time = false;
   const Explored all = explore(first, true, after, [&](const State& s) {
-    if (s.work().step != upkeep::Step::at_work) return;
+    if (s.work().step != maintenance::Step::at_work) return;
     handed = true;
     for (std::size_t i = 0; i < brokers; ++i) (s.holders[i].until() > s.now ? by_word : by_time) = true;
   });
--- a/tests/zones.cpp
+++ b/tests/zones.cpp
@@ -1,7 +1,5 @@
 // Stories of zones without processes: what evidence tells apart, and how shares are filled, held against a
 // solver (GLPK).
-#include "zones/zones.h"
-
 #include <glpk.h>
 
 #include <chrono>
@@ -11,12 +9,13 @@
 #include <map>
 #include <random>
 
-#include "zones/evidence.h"
-#include "zones/report.h"
-#include "zones/shares.h"
+#include "zone_failover/traffic_split.h"
+#include "zone_failover/zone_failover.h"
+#include "zone_failover/zone_health.h"
+#include "zone_failover/zone_report.h"
 
 using namespace cairnhub;
-using namespace cairnhub::zones;
+using namespace cairnhub::zone_failover;
 
 namespace {
 
