--- a/src/backend/framed/framed_client.cpp
+++ b/src/backend/framed/framed_client.cpp
@@ -47,12 +47,12 @@
 struct Sender::Connection {
   struct GivenUp {
     std::size_t name;  // hashed
-    dispatch::Account whose;
+    dispatch::TrafficAccount whose;
   };
   struct Span {  // handed over, and maybe not written yet; only where bytes are counted
     std::uint64_t ends;
     std::size_t size;
-    dispatch::Account whose;
+    dispatch::TrafficAccount whose;
   };
   Sender* sender = nullptr;
   Node* node = nullptr;
@@ -111,7 +111,7 @@
   std::vector<InFlight*> this_turn;
 };
 
-Sender::Sender(event_base* base, SendLimits limits, Ended ended, std::function<void()> turn)
+Sender::Sender(event_base* base, SendLimits limits, AttemptEnded ended, std::function<void()> turn)
     : base_(base), limits_(limits), ended_(std::move(ended)), turn_(std::move(turn)) {}
 
 Sender::~Sender() {
@@ -119,7 +119,8 @@
     for (auto& connection : n->connections) bufferevent_free(connection->bev);
 }
 
-void Sender::node(EndpointId id, const std::string& name, const Address& address, EndpointState state) {
+void Sender::update_endpoint(EndpointId id, const std::string& name, const Address& address,
+                             EndpointState state) {
   auto& slot = nodes_[id];
   if (!slot) slot = std::make_unique<Node>();
   slot->id = id, slot->name = name, slot->address = address;
@@ -129,10 +130,10 @@
   for (auto& connection : slot->connections)
     for (auto& call : connection->waiting)
       withdrawn.insert(withdrawn.end(), call->parts.begin(), call->parts.end());
-  for (InFlight* sent : withdrawn) stop(*sent, dispatch::End::given_up);
+  for (InFlight* sent : withdrawn) stop(*sent, dispatch::AttemptEnd::kCancelled);
 }
 
-void Sender::forget(EndpointId id) {
+void Sender::forget_endpoint(EndpointId id) {
   const auto it = nodes_.find(id);
   if (it == nodes_.end()) return;
   while (!it->second->connections.empty()) break_off(*it->second->connections.back(), nullptr);
@@ -140,7 +141,7 @@
   nodes_.erase(it);
 }
 
-void Sender::let_go(EndpointId id) {
+void Sender::close_idle_connections(EndpointId id) {
   const auto it = nodes_.find(id);
   if (it == nodes_.end()) return;
   std::vector<Connection*> idle;
@@ -158,17 +159,17 @@
   auto& sent = in_flight_[&attempt] = std::make_unique<InFlight>();
   sent->attempt = &attempt, sent->node = &n;
   sent->timeout = std::make_unique<Timer>(base_, [this, w = sent.get()] {
-    stop(*w, dispatch::End::timed_out);
+    stop(*w, dispatch::AttemptEnd::kTimedOut);
     turn_();
   });
-  sent->timeout->start(attempt.until - now());
+  sent->timeout->start(attempt.expires_at - now());
   if (n.this_turn.empty()) touched_.push_back(&n);
   n.this_turn.push_back(sent.get());
 }
 
-void Sender::give_up(dispatch::Attempt& attempt) {
+void Sender::cancel(dispatch::Attempt& attempt) {
   const auto it = in_flight_.find(&attempt);
-  if (it != in_flight_.end()) stop(*it->second, dispatch::End::given_up);
+  if (it != in_flight_.end()) stop(*it->second, dispatch::AttemptEnd::kCancelled);
 }
 
 void Sender::flush() {
@@ -179,7 +180,7 @@
       Connection* connection = connection_with_room(*n);
       if (!connection) {  // none may be opened: not the node's doing, and it never ran
         for (; i < upto; ++i)
-          finish(*parts[i], {dispatch::End::given_up, dispatch::Reached::never_connected, {}});
+          finish(*parts[i], {dispatch::AttemptEnd::kCancelled, dispatch::WriteProgress::kNotConnected, {}});
         continue;
       }
       auto call = std::make_unique<Call>();
@@ -234,7 +235,7 @@
   // Danger: a length or a line that is never filled. The node is of no further use on this connection, and
   // all that waits there would wait for nothing.
   connection->rest = std::make_unique<Timer>(base_, [this, connection] {
-    break_off(*connection, "a frame without end", dispatch::End::spoilt);
+    break_off(*connection, "a frame without end", dispatch::AttemptEnd::kInvalidResponse);
     turn_();
   });
   if (bufferevent_socket_connect(connection->bev, reinterpret_cast<sockaddr*>(&connection->to.at),
@@ -255,7 +256,7 @@
         guarded("node write", [c = static_cast<Connection*>(at)] {
           Sender* s = c->sender;
           const bool begins = !c->waiting.empty();
-          if (begins && s->look_) s->look_();
+          if (begins && s->before_write_) s->before_write_();
           s->write(*c);
           if (begins) s->turn_();
         });
@@ -280,7 +281,7 @@
     connection.limit->stop();
     send_without_delay(bufferevent_getfd(connection.bev));
     bufferevent_enable(connection.bev, EV_READ | EV_WRITE);
-    if (look_) look_();
+    if (before_write_) before_write_();
     return write(connection);
   }
   break_off(connection, what & BEV_EVENT_EOF ? "ended by the node" : connection.up ? "reset" : "refused");
@@ -289,14 +290,14 @@
 // Danger: a connection comes up late. The client has no time left, or repeats are no longer dropped, and the
 // attempt would be told a time that is none or take effect twice.
 void Sender::withdraw_expired(Connection& connection) {
-  std::vector<std::pair<InFlight*, dispatch::End>> expired;
+  std::vector<std::pair<InFlight*, dispatch::AttemptEnd>> expired;
   const Time at = now();
   for (const auto& call : connection.waiting)
     for (InFlight* sent : call->parts) {
-      if (sent->attempt->until <= at)
-        expired.emplace_back(sent, dispatch::End::timed_out);
-      else if (sent->attempt->begin_by < at)
-        expired.emplace_back(sent, dispatch::End::given_up);
+      if (sent->attempt->expires_at <= at)
+        expired.emplace_back(sent, dispatch::AttemptEnd::kTimedOut);
+      else if (sent->attempt->begins_by < at)
+        expired.emplace_back(sent, dispatch::AttemptEnd::kCancelled);
     }
   for (const auto& [sent, why] : expired) stop(*sent, why);
 }
@@ -311,12 +312,12 @@
     framed::Call bytes;
     std::vector<std::size_t> upto;  // of the parts' bytes, where they are counted
     for (InFlight* sent : call->parts) {
-      const dispatch::Part& p = *sent->attempt->part;
-      bytes.add(p.name, p.shard, sent->attempt->until - now(),
-                p.target.empty() ? (p.text ? *p.text : p.query->text)
-                                 : p.target + "\n" + (p.text ? *p.text : p.query->text));
+      const dispatch::ShardRequest& p = *sent->attempt->shard_request;
+      bytes.add(p.name, p.shard, sent->attempt->expires_at - now(),
+                p.http_target.empty() ? (p.body ? *p.body : p.request->body)
+                                      : p.http_target + "\n" + (p.body ? *p.body : p.request->body));
       connection.out[p.name] = sent;
-      if (count_) upto.push_back(bytes.size());
+      if (byte_counter_) upto.push_back(bytes.size());
     }
     const std::string all = bytes.finish();
     call->ends = connection.handed += all.size();
@@ -333,8 +334,8 @@
 
 // Counts them, and remembers what may never be written.
 void Sender::handed_over(Connection& connection, const dispatch::Attempt& attempt, std::size_t bytes) {
-  if (!count_) return;
-  count_({connection.node->id, attempt.account, static_cast<long long>(bytes), 0});
+  if (!byte_counter_) return;
+  byte_counter_({connection.node->id, attempt.account, static_cast<long long>(bytes), 0});
   while (!connection.spans.empty() && connection.spans.front().ends <= connection.written())
     connection.spans.pop_front();
   connection.spans.push_back({connection.spanned += bytes, bytes, attempt.account});
@@ -347,11 +348,11 @@
     const bool begun = evbuffer_copyout(input, head, sizeof head) == static_cast<ev_ssize_t>(sizeof head);
     const std::size_t n = begun ? framed::length(head) : 1;
     if (n == 0 || n > framed::kLongest)
-      return break_off(connection, "a frame of no possible length", dispatch::End::spoilt);
+      return break_off(connection, "a frame of no possible length", dispatch::AttemptEnd::kInvalidResponse);
     if (!begun || evbuffer_get_length(input) < sizeof head + n) break;
     const char* bytes = reinterpret_cast<const char*>(evbuffer_pullup(input, sizeof head + n)) + sizeof head;
     if (const char* wrong = take_frame(connection, {bytes, n}))
-      return break_off(connection, wrong, dispatch::End::spoilt);
+      return break_off(connection, wrong, dispatch::AttemptEnd::kInvalidResponse);
     evbuffer_drain(input, sizeof head + n);
     connection.rest->stop();
   }
@@ -366,11 +367,12 @@
   if (!ended) return bytes[0] == 'F' ? "node can't use a frame" : "a malformed frame";
   const auto it = connection.out.find(ended->id);
   const Connection::GivenUp* given_up = connection.was_given_up(ended->id);
-  if (count_) {
-    const dispatch::Account whose = it != connection.out.end() ? it->second->attempt->account
-                                    : given_up                 ? given_up->whose
-                                                               : dispatch::Account{};
-    count_({connection.node->id, whose, 0, static_cast<long long>(bytes.size() + framed::kLengthBytes)});
+  if (byte_counter_) {
+    const dispatch::TrafficAccount whose = it != connection.out.end() ? it->second->attempt->account
+                                           : given_up                 ? given_up->whose
+                                                                      : dispatch::TrafficAccount{};
+    byte_counter_(
+        {connection.node->id, whose, 0, static_cast<long long>(bytes.size() + framed::kLengthBytes)});
   }
   // One for a part that is over crosses its give-up, or is a second copy: ordinary, dropped. Danger: one for
   // a part of nobody stands for one that waits, and the node says nothing more here.
@@ -379,52 +381,55 @@
   connection.counted = now(), connection.silence = 0, connection.in_vain = 0;
   connection.answered = ended->id;
   // Danger: a name used again after it was given up here. This may be the value made for the earlier one.
-  const dispatch::End end = given_up                                     ? dispatch::End::error
-                            : ended->how == framed::Ended::How::returned ? dispatch::End::returned
-                            : ended->how == framed::Ended::How::full     ? dispatch::End::full
-                                                                         : dispatch::End::error;
-  finish(*it->second, {end, dispatch::Reached::wholly_written, ended->value});
+  const dispatch::AttemptEnd end = given_up ? dispatch::AttemptEnd::kError
+                                   : ended->how == framed::Ended::How::returned
+                                       ? dispatch::AttemptEnd::kReturned
+                                   : ended->how == framed::Ended::How::full ? dispatch::AttemptEnd::kQueueFull
+                                                                            : dispatch::AttemptEnd::kError;
+  finish(*it->second, {end, dispatch::WriteProgress::kFullyWritten, ended->value});
   return nullptr;
 }
 
 // How far a send on a broken connection had come.
-dispatch::Reached Sender::reached(const InFlight& sent) const {
-  if (!sent.connection->up) return dispatch::Reached::never_connected;
-  return sent.begun() && sent.connection->written() >= sent.call->ends ? dispatch::Reached::wholly_written
-                                                                       : dispatch::Reached::partly_written;
+dispatch::WriteProgress Sender::reached(const InFlight& sent) const {
+  if (!sent.connection->up) return dispatch::WriteProgress::kNotConnected;
+  return sent.begun() && sent.connection->written() >= sent.call->ends
+             ? dispatch::WriteProgress::kFullyWritten
+             : dispatch::WriteProgress::kPartlyWritten;
 }
 
-void Sender::withdraw(dispatch::Attempt& attempt) {
+void Sender::cancel_unwritten(dispatch::Attempt& attempt) {
   const auto it = in_flight_.find(&attempt);
-  if (it != in_flight_.end() && !it->second->begun()) stop(*it->second, dispatch::End::given_up);
+  if (it != in_flight_.end() && !it->second->begun()) stop(*it->second, dispatch::AttemptEnd::kCancelled);
 }
 
 // Ends a send from this side: withdrawn where its frame is not begun, else the node is told. Danger: a frame
 // handed over is written to its end, and may run though its last byte was not out when it was given up.
-void Sender::stop(InFlight& sent, dispatch::End why) {
+void Sender::stop(InFlight& sent, dispatch::AttemptEnd why) {
   const bool told = sent.begun();
   if (told) {
-    const std::string bytes = framed::give_up(sent.attempt->part->name);
+    const std::string bytes = framed::give_up(sent.attempt->shard_request->name);
     sent.connection->handed += bytes.size();
     bufferevent_write(sent.connection->bev, bytes.data(), bytes.size());
     handed_over(*sent.connection, *sent.attempt, bytes.size());
     sent.connection->given_up.push_back(
-        {std::hash<std::string_view>{}(sent.attempt->part->name), sent.attempt->account});
+        {std::hash<std::string_view>{}(sent.attempt->shard_request->name), sent.attempt->account});
     if (sent.connection->given_up.size() > kGivenUpMost) sent.connection->given_up.pop_front();
     sent.connection->waited_in_vain(sent.attempt->sent_at);
   }
   Connection* connection = sent.connection;
-  finish(sent, {why, told ? dispatch::Reached::wholly_written : dispatch::Reached::never_connected, {}});
+  finish(sent,
+         {why, told ? dispatch::WriteProgress::kFullyWritten : dispatch::WriteProgress::kNotConnected, {}});
   if (told && evbuffer_get_length(bufferevent_get_output(connection->bev)) > kUnreadMost)
     break_off(*connection, "reads nothing");
 }
 
 // The one place where a send ends.
-void Sender::finish(InFlight& sent, const dispatch::Result& result) {
+void Sender::finish(InFlight& sent, const dispatch::AttemptResult& result) {
   dispatch::Attempt& attempt = *sent.attempt;
   std::erase(sent.node->this_turn, &sent);
   if (Connection* connection = sent.connection) {
-    const auto named = connection->out.find(attempt.part->name);
+    const auto named = connection->out.find(attempt.shard_request->name);
     if (named != connection->out.end() && named->second == &sent) connection->out.erase(named);
     std::erase(sent.call->parts, &sent);
     if (sent.call->parts.empty()) {
@@ -442,11 +447,11 @@
 }
 
 // Ends a connection and all that is out on it. No reason: it was idle.
-void Sender::break_off(Connection& connection, const char* why, dispatch::End how) {
+void Sender::break_off(Connection& connection, const char* why, dispatch::AttemptEnd how) {
   if (why)
     log("node", "%s: %s, %zu calls on the connection", connection.node->name.c_str(), why,
         connection.calls());
-  std::vector<std::pair<InFlight*, dispatch::Reached>> lost;
+  std::vector<std::pair<InFlight*, dispatch::WriteProgress>> lost;
   for (auto* calls : {&connection.under_way, &connection.waiting})
     for (auto& call : *calls)
       for (InFlight* sent : call->parts) lost.emplace_back(sent, reached(*sent));
@@ -454,8 +459,8 @@
   const std::uint64_t out = connection.written();
   for (const Connection::Span& s : connection.spans)
     if (s.ends > out)
-      count_({connection.node->id, s.whose,
-              -static_cast<long long>(std::min<std::uint64_t>(s.size, s.ends - out)), 0});
+      byte_counter_({connection.node->id, s.whose,
+                     -static_cast<long long>(std::min<std::uint64_t>(s.size, s.ends - out)), 0});
   bufferevent_free(connection.bev);
   --open_;
   std::erase_if(connection.node->connections, [&](const auto& c) { return c.get() == &connection; });
--- a/src/backend/framed/framed_client.h
+++ b/src/backend/framed/framed_client.h
@@ -10,7 +10,7 @@
 
 #include "base/timer.h"
 #include "dispatch/backend.h"
-#include "dispatch/query.h"
+#include "dispatch/request.h"
 
 namespace cairnhub::backend {
 
@@ -20,17 +20,18 @@
   std::size_t connections;
 };
 
-class Sender : public dispatch::Hosts {
+class Sender : public dispatch::Backend {
  public:
-  Sender(event_base* base, SendLimits limits, Ended ended, std::function<void()> turn);
+  Sender(event_base* base, SendLimits limits, AttemptEnded ended, std::function<void()> turn);
   ~Sender() override;
 
-  void node(EndpointId id, const std::string& name, const Address& address, EndpointState state) override;
-  void forget(EndpointId id) override;
-  void let_go(EndpointId id) override;
+  void update_endpoint(EndpointId id, const std::string& name, const Address& address,
+                       EndpointState state) override;
+  void forget_endpoint(EndpointId id) override;
+  void close_idle_connections(EndpointId id) override;
   void send(dispatch::Attempt& attempt, EndpointId to) override;
-  void give_up(dispatch::Attempt& attempt) override;
-  void withdraw(dispatch::Attempt& attempt) override;
+  void cancel(dispatch::Attempt& attempt) override;
+  void cancel_unwritten(dispatch::Attempt& attempt) override;
   void flush() override;
 
  private:
@@ -47,15 +48,16 @@
   void readable(Connection& connection);
   void happened(Connection& connection, short what);
   const char* take_frame(Connection& connection, std::string_view bytes);  // what is wrong with it, or null
-  void break_off(Connection& connection, const char* why, dispatch::End how = dispatch::End::broken);
-  void finish(InFlight& sent, const dispatch::Result& result);
-  void stop(InFlight& sent, dispatch::End why);
-  dispatch::Reached reached(const InFlight& sent) const;
+  void break_off(Connection& connection, const char* why,
+                 dispatch::AttemptEnd how = dispatch::AttemptEnd::kConnectionLost);
+  void finish(InFlight& sent, const dispatch::AttemptResult& result);
+  void stop(InFlight& sent, dispatch::AttemptEnd why);
+  dispatch::WriteProgress reached(const InFlight& sent) const;
   void handed_over(Connection& connection, const dispatch::Attempt& attempt, std::size_t bytes);
 
   event_base* base_;
   SendLimits limits_;
-  Ended ended_;
+  AttemptEnded ended_;
   std::function<void()> turn_;
   std::size_t open_ = 0;
   std::map<EndpointId, std::unique_ptr<Node>> nodes_;
--- a/src/backend/opensearch/search_client.cpp
+++ b/src/backend/opensearch/search_client.cpp
@@ -44,10 +44,10 @@
     static_cast<Link*>(at)->came += info->n_added;
   }
   bool wholly_written() const { return to_write > 0 && written >= to_write; }
-  dispatch::Reached reached() const {
-    return to_write == 0 || written == 0 ? dispatch::Reached::never_connected
-           : wholly_written()            ? dispatch::Reached::wholly_written
-                                         : dispatch::Reached::partly_written;
+  dispatch::WriteProgress reached() const {
+    return to_write == 0 || written == 0 ? dispatch::WriteProgress::kNotConnected
+           : wholly_written()            ? dispatch::WriteProgress::kFullyWritten
+                                         : dispatch::WriteProgress::kPartlyWritten;
   }
 };
 
@@ -60,7 +60,7 @@
   std::vector<Way*> this_turn;
 };
 
-Searcher::Searcher(event_base* base, SearchLimits limits, Ended ended, std::function<void()> turn)
+Searcher::Searcher(event_base* base, SearchLimits limits, AttemptEnded ended, std::function<void()> turn)
     : base_(base), limits_(limits), ended_(std::move(ended)), turn_(std::move(turn)), sweep_(base, [this] {
         for (auto& link : std::exchange(dropped_, {}))
           if (link->connection) evhttp_connection_free(link->connection);
@@ -86,7 +86,8 @@
     }
 }
 
-void Searcher::node(EndpointId id, const std::string& name, const Address& address, EndpointState state) {
+void Searcher::update_endpoint(EndpointId id, const std::string& name, const Address& address,
+                               EndpointState state) {
   auto& slot = nodes_[id];
   if (!slot) slot = std::make_unique<Node>();
   Node& n = *slot;
@@ -101,10 +102,10 @@
   // Rule 3. Danger: what waits for a free connection would be sent long after the node said it drains.
   std::vector<Way*> withdrawn(n.waiting.begin(), n.waiting.end());
   withdrawn.insert(withdrawn.end(), n.this_turn.begin(), n.this_turn.end());
-  for (Way* w : withdrawn) stop(*w, dispatch::End::given_up);
+  for (Way* w : withdrawn) stop(*w, dispatch::AttemptEnd::kCancelled);
 }
 
-void Searcher::forget(EndpointId id) {
+void Searcher::forget_endpoint(EndpointId id) {
   const auto it = nodes_.find(id);
   if (it == nodes_.end()) return;
   Node& n = *it->second;
@@ -113,7 +114,7 @@
   nodes_.erase(it);
 }
 
-void Searcher::let_go(EndpointId id) {
+void Searcher::close_idle_connections(EndpointId id) {
   const auto it = nodes_.find(id);
   if (it == nodes_.end()) return;
   std::vector<Link*> idle;
@@ -127,10 +128,10 @@
   auto& way = ways_[&attempt] = std::make_unique<Way>();
   way->attempt = &attempt, way->node = &n;
   way->timeout = std::make_unique<Timer>(base_, [this, w = way.get()] {
-    stop(*w, dispatch::End::timed_out);
+    stop(*w, dispatch::AttemptEnd::kTimedOut);
     turn_();
   });
-  way->timeout->start(attempt.until - now());
+  way->timeout->start(attempt.expires_at - now());
   if (n.this_turn.empty()) touched_.push_back(&n);
   n.this_turn.push_back(way.get());
 }
@@ -150,8 +151,8 @@
     Way* way = n.waiting.front();
     n.waiting.pop_front();
     // Danger: what may have run would be repeated after repeats are no longer dropped.
-    if (way->attempt->begin_by < now())
-      finish(*way, {dispatch::End::given_up, dispatch::Reached::never_connected, {}});
+    if (way->attempt->begins_by < now())
+      finish(*way, {dispatch::AttemptEnd::kCancelled, dispatch::WriteProgress::kNotConnected, {}});
     else
       begin(*way, *link);
   }
@@ -170,7 +171,7 @@
   evhttp_connection_set_retries(link->connection, 0);
   evbuffer_add_cb(bufferevent_get_output(evhttp_connection_get_bufferevent(link->connection)), Link::counts,
                   link.get());
-  if (count_)
+  if (byte_counter_)
     evbuffer_add_cb(bufferevent_get_input(evhttp_connection_get_bufferevent(link->connection)),
                     Link::counts_in, link.get());
   ++open_;
@@ -179,7 +180,7 @@
 }
 
 void Searcher::begin(Way& way, Link& link) {
-  const dispatch::Part& p = *way.attempt->part;
+  const dispatch::ShardRequest& p = *way.attempt->shard_request;
   way.link = &link, link.way = &way;
   link.to_write = link.written = link.came = 0, link.error = -1;
   link.request = evhttp_request_new(
@@ -197,13 +198,13 @@
   evkeyvalq* headers = evhttp_request_get_output_headers(link.request);
   evhttp_add_header(headers, "Host", (link.node->host + ":" + std::to_string(link.node->port)).c_str());
   evhttp_add_header(headers, "Content-Type", "application/json");
-  const std::string& text = p.text ? *p.text : p.query->text;
+  const std::string& text = p.body ? *p.body : p.request->body;
   evbuffer_add(evhttp_request_get_output_buffer(link.request), text.data(), text.size());
-  const timeval until{std::max<Time>(0, way.attempt->until - now()) / kSecond + 1, 0};
+  const timeval until{std::max<Time>(0, way.attempt->expires_at - now()) / kSecond + 1, 0};
   evhttp_connection_set_timeout_tv(link.connection, &until);
-  if (evhttp_make_request(link.connection, link.request, EVHTTP_REQ_POST, p.target.c_str()) != 0) {
+  if (evhttp_make_request(link.connection, link.request, EVHTTP_REQ_POST, p.http_target.c_str()) != 0) {
     link.request = nullptr;  // gone with the failure
-    finish(way, {dispatch::End::broken, dispatch::Reached::never_connected, {}});
+    finish(way, {dispatch::AttemptEnd::kConnectionLost, dispatch::WriteProgress::kNotConnected, {}});
     return drop(link);
   }
   send_without_delay(bufferevent_getfd(evhttp_connection_get_bufferevent(link.connection)));
@@ -218,14 +219,14 @@
   evbuffer* body = evhttp_request_get_input_buffer(r);
   const std::size_t n = evbuffer_get_length(body);
   const std::string_view value(n ? reinterpret_cast<const char*>(evbuffer_pullup(body, -1)) : "", n);
-  const dispatch::End end = status == 200                    ? dispatch::End::returned
-                            : status == 429 || status == 503 ? dispatch::End::full
-                                                             : dispatch::End::error;
+  const dispatch::AttemptEnd end = status == 200                    ? dispatch::AttemptEnd::kReturned
+                                   : status == 429 || status == 503 ? dispatch::AttemptEnd::kQueueFull
+                                                                    : dispatch::AttemptEnd::kError;
   // An early refusal may come before the request was read whole; what is left of it can't be told from the
   // next.
   const bool reusable = link.wholly_written();
   Node& node = *link.node;
-  finish(*way, {end, dispatch::Reached::wholly_written, value});
+  finish(*way, {end, dispatch::WriteProgress::kFullyWritten, value});
   if (!reusable) drop(link);
   next(node);
 }
@@ -234,33 +235,35 @@
   const bool spoilt =
       why == EVREQ_HTTP_INVALID_HEADER || why == EVREQ_HTTP_DATA_TOO_LONG || why == EVREQ_HTTP_BUFFER_ERROR;
   log("node", "%s: %s", link.node->name.c_str(),
-      spoilt                                                 ? "an answer that is no HTTP or too long"
-      : link.reached() == dispatch::Reached::never_connected ? "refused or not connected"
-                                                             : "broken with a search out");
+      spoilt                                                     ? "an answer that is no HTTP or too long"
+      : link.reached() == dispatch::WriteProgress::kNotConnected ? "refused or not connected"
+                                                                 : "broken with a search out");
   Node& node = *link.node;
-  finish(*link.way, {spoilt ? dispatch::End::spoilt : dispatch::End::broken, link.reached(), {}});
+  finish(*link.way, {spoilt ? dispatch::AttemptEnd::kInvalidResponse : dispatch::AttemptEnd::kConnectionLost,
+                     link.reached(),
+                     {}});
   drop(link);
   next(node);
 }
 
-void Searcher::give_up(dispatch::Attempt& attempt) {
+void Searcher::cancel(dispatch::Attempt& attempt) {
   const auto it = ways_.find(&attempt);
-  if (it != ways_.end()) stop(*it->second, dispatch::End::given_up);
+  if (it != ways_.end()) stop(*it->second, dispatch::AttemptEnd::kCancelled);
 }
 
-void Searcher::withdraw(dispatch::Attempt& attempt) {
+void Searcher::cancel_unwritten(dispatch::Attempt& attempt) {
   const auto it = ways_.find(&attempt);
   if (it == ways_.end()) return;
   // Rule 1: one that still waits to be written, or whose connection isn't up, must not go out after the
   // answer.
   const Link* link = it->second->link;
-  if (!link || link->written == 0) stop(*it->second, dispatch::End::given_up);
+  if (!link || link->written == 0) stop(*it->second, dispatch::AttemptEnd::kCancelled);
 }
 
-void Searcher::stop(Way& way, dispatch::End why) {
+void Searcher::stop(Way& way, dispatch::AttemptEnd why) {
   Link* link = way.link;
   // Danger: bytes handed to the library go out until the connection is closed, which happens here and now.
-  const dispatch::Reached far = link ? link->reached() : dispatch::Reached::never_connected;
+  const dispatch::WriteProgress far = link ? link->reached() : dispatch::WriteProgress::kNotConnected;
   Node& node = *way.node;
   finish(way, {why, far, {}});
   if (link) drop(*link);
@@ -268,13 +271,13 @@
 }
 
 // The one place where a send ends.
-void Searcher::finish(Way& way, const dispatch::Result& result) {
+void Searcher::finish(Way& way, const dispatch::AttemptResult& result) {
   std::erase(way.node->this_turn, &way);
   std::erase(way.node->waiting, &way);
   if (way.link) {
-    if (count_)
-      count_({way.node->id, way.attempt->account, static_cast<long long>(way.link->written),
-              static_cast<long long>(way.link->came)});
+    if (byte_counter_)
+      byte_counter_({way.node->id, way.attempt->account, static_cast<long long>(way.link->written),
+                     static_cast<long long>(way.link->came)});
     way.link->way = nullptr, way.link->idle_since = now();
     if (!sweep_.pending()) sweep_.start(limits_.idle_at_most / 4 + 1);
   }
@@ -288,7 +291,7 @@
   if (link.request) evhttp_cancel_request(std::exchange(link.request, nullptr));
   bufferevent* bev = evhttp_connection_get_bufferevent(link.connection);
   evbuffer_remove_cb(bufferevent_get_output(bev), Link::counts, &link);
-  if (count_) evbuffer_remove_cb(bufferevent_get_input(bev), Link::counts_in, &link);
+  if (byte_counter_) evbuffer_remove_cb(bufferevent_get_input(bev), Link::counts_in, &link);
   bufferevent_disable(bev, EV_READ | EV_WRITE);
   if (const int fd = bufferevent_getfd(bev); fd >= 0) shutdown(fd, SHUT_RDWR);
   --open_;
--- a/src/backend/opensearch/search_client.h
+++ b/src/backend/opensearch/search_client.h
@@ -31,17 +31,18 @@
   Time idle_at_most;
 };
 
-class Searcher : public dispatch::Hosts {
+class Searcher : public dispatch::Backend {
  public:
-  Searcher(event_base* base, SearchLimits limits, Ended ended, std::function<void()> turn);
+  Searcher(event_base* base, SearchLimits limits, AttemptEnded ended, std::function<void()> turn);
   ~Searcher() override;
 
-  void node(EndpointId id, const std::string& name, const Address& address, EndpointState state) override;
-  void forget(EndpointId id) override;
-  void let_go(EndpointId id) override;
+  void update_endpoint(EndpointId id, const std::string& name, const Address& address,
+                       EndpointState state) override;
+  void forget_endpoint(EndpointId id) override;
+  void close_idle_connections(EndpointId id) override;
   void send(dispatch::Attempt& attempt, EndpointId to) override;
-  void give_up(dispatch::Attempt& attempt) override;
-  void withdraw(dispatch::Attempt& attempt) override;
+  void cancel(dispatch::Attempt& attempt) override;
+  void cancel_unwritten(dispatch::Attempt& attempt) override;
   void flush() override;
 
  private:
@@ -53,14 +54,14 @@
   Link* idle_link(Node& node);
   void answered(Link& link, evhttp_request* request);
   void broke(Link& link, int why);
-  void stop(Way& way, dispatch::End why);
-  void finish(Way& way, const dispatch::Result& result);
+  void stop(Way& way, dispatch::AttemptEnd why);
+  void finish(Way& way, const dispatch::AttemptResult& result);
   void drop(Link& link);
   void next(Node& node);
 
   event_base* base_;
   SearchLimits limits_;
-  Ended ended_;
+  AttemptEnded ended_;
   std::function<void()> turn_;
   std::size_t open_ = 0;
   std::map<EndpointId, std::unique_ptr<Node>> nodes_;
@@ -71,9 +72,9 @@
 };
 
 // Nodes of either kind behind one door: each send goes where its node's kind is served.
-class MixedHosts : public dispatch::Hosts {
+class MixedHosts : public dispatch::Backend {
  public:
-  MixedHosts(dispatch::Hosts& frames, dispatch::Hosts& search) : frames_(frames), search_(search) {}
+  MixedHosts(dispatch::Backend& frames, dispatch::Backend& search) : frames_(frames), search_(search) {}
   // Nodes of this flavor in the list speak the API.
   void set_flavor(std::string flavor) { flavor_ = std::move(flavor); }
   bool is_search(const std::string& flavor) const { return !flavor_.empty() && flavor == flavor_; }
@@ -81,26 +82,33 @@
     kinds_[id] = is_search(flavor) ? &search_ : &frames_;
   }
 
-  void node(EndpointId id, const std::string& name, const Address& address, EndpointState state) override {
-    of(id).node(id, name, address, state);
+  void update_endpoint(EndpointId id, const std::string& name, const Address& address,
+                       EndpointState state) override {
+    of(id).update_endpoint(id, name, address, state);
   }
-  void forget(EndpointId id) override { of(id).forget(id), kinds_.erase(id); }
+  void forget_endpoint(EndpointId id) override { of(id).forget_endpoint(id), kinds_.erase(id); }
   void send(dispatch::Attempt& attempt, EndpointId to) override { of(to).send(attempt, to); }
-  void give_up(dispatch::Attempt& attempt) override { of(attempt.node).give_up(attempt); }
-  void withdraw(dispatch::Attempt& attempt) override { of(attempt.node).withdraw(attempt); }
+  void cancel(dispatch::Attempt& attempt) override { of(attempt.endpoint).cancel(attempt); }
+  void cancel_unwritten(dispatch::Attempt& attempt) override {
+    of(attempt.endpoint).cancel_unwritten(attempt);
+  }
   void flush() override { frames_.flush(), search_.flush(); }
-  void look(std::function<void()> look) override { frames_.look(look), search_.look(std::move(look)); }
-  void let_go(EndpointId id) override { of(id).let_go(id); }
-  void count(Count count) override { frames_.count(count), search_.count(std::move(count)); }
+  void set_before_write(std::function<void()> look) override {
+    frames_.set_before_write(look), search_.set_before_write(std::move(look));
+  }
+  void close_idle_connections(EndpointId id) override { of(id).close_idle_connections(id); }
+  void set_byte_counter(ByteCounter count) override {
+    frames_.set_byte_counter(count), search_.set_byte_counter(std::move(count));
+  }
 
  private:
-  dispatch::Hosts& of(EndpointId id) {
+  dispatch::Backend& of(EndpointId id) {
     const auto it = kinds_.find(id);
     return it == kinds_.end() ? frames_ : *it->second;
   }
-  dispatch::Hosts &frames_, &search_;
+  dispatch::Backend &frames_, &search_;
   std::string flavor_;
-  std::map<EndpointId, dispatch::Hosts*> kinds_;
+  std::map<EndpointId, dispatch::Backend*> kinds_;
 };
 
 }  // namespace cairnhub::backend
--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -45,9 +45,9 @@
         RequestPolicy policy(config->seed);
         settings::apply(config->settings, policy);
         Address at;
-        if (!parse_address(config->listen, at))
+        if (!parse_address(config->listen_address, at))
           throw std::runtime_error("configuration: listen is not an address");
-        if (!parse_address(config->discovery, at))
+        if (!parse_address(config->discovery_address, at))
           throw std::runtime_error("configuration: discovery is not an address");
       } else {
         const auto options = options::read(file);
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -47,19 +47,19 @@
 // What the search front tells of nodes, from the list.
 class Around : public frontend::opensearch::Surroundings {
  public:
-  Around(const dispatch::Members& members, const settings::Settings& s)
+  Around(const dispatch::EndpointRegistry& members, const settings::Settings& s)
       : members_(members), cells_(s.whole("family-info.positions")), width_(s.whole("family-info.width")) {}
   std::string node_name(EndpointId id) const override { return members_.name_of(id); }
   std::vector<std::string> holders(int block) const override {
     std::vector<std::string> all;
     for (int j = 0; j < width_; ++j)
-      for (auto& name : members_.ready_in((block + j) % cells_)) all.push_back(std::move(name));
+      for (auto& name : members_.ready_at((block + j) % cells_)) all.push_back(std::move(name));
     return all;
   }
-  int nodes() const override { return members_.ready(); }
+  int nodes() const override { return members_.ready_count(); }
 
  private:
-  const dispatch::Members& members_;
+  const dispatch::EndpointRegistry& members_;
   int cells_, width_;
 };
 
@@ -76,7 +76,7 @@
   try {
     if (path.empty()) throw std::runtime_error("RELAY_CONFIG is not set");
     const Config config = read_config(path);
-    server::Extras extras;
+    server::BrokerOptions extras;
     std::unique_ptr<cluster::Fleet> fleet;
     std::unique_ptr<cluster::Operators> operators;
     std::vector<frontend::opensearch::Index> indices;
@@ -84,17 +84,18 @@
     if (!options.empty()) {
       const auto stated = options::read(options);
       for (const auto& p : options::resolve(stated, config.settings))
-        extras.two_phase.push_back({p.op_type, p.op, p.terms});
+        extras.two_phase_classes.push_back({p.op_type, p.op, p.terms});
       for (const auto& x : options::resolve_indices(stated, config.settings))
         indices.push_back({x.index.name, x.index.first, x.index.blocks, x.op_type, x.index.timeout});
       options::check_fleet(stated, config.settings);
       if (stated.fleet) {
         fleet = std::make_unique<cluster::Fleet>(base, *stated.fleet, config.settings, config.seed);
         if (!stated.fleet->operators.empty()) operators = std::make_unique<cluster::Operators>(base, *fleet);
-        extras.common = fleet.get();
+        extras.cluster_control = fleet.get();
       }
       if (stated.search) {
-        extras.search_flavor = stated.search->flavor, extras.search_body_most = stated.search->answer_most;
+        extras.search_flavor = stated.search->flavor,
+        extras.max_search_body_bytes = stated.search->answer_most;
         limits.window_most = stated.search->window_most, limits.items_most = stated.search->items_most;
       }
     }
@@ -117,11 +118,12 @@
       }
     }
     Broker broker(base, config, extras);
-    frontend::two_phase::Front two_phase_front(broker.admit(), broker.phased());
-    if (!extras.two_phase.empty()) broker.add(two_phase_front);
-    const Around around(broker.members(), config.settings);
-    frontend::opensearch::Front search_front(indices, limits, broker.book(), broker.route(), around);
-    if (!indices.empty()) broker.add(search_front);
+    frontend::two_phase::Front two_phase_front(broker.request_parser(), broker.two_phase_runner());
+    if (!extras.two_phase_classes.empty()) broker.add_frontend(two_phase_front);
+    const Around around(broker.endpoints(), config.settings);
+    frontend::opensearch::Front search_front(indices, limits, broker.in_flight_requests(),
+                                             broker.dispatcher(), around);
+    if (!indices.empty()) broker.add_frontend(search_front);
     const auto leave = [&] {
       log("stop", "finishing what is in hand");
       if (fleet) fleet->leave();
@@ -132,14 +134,15 @@
     };
     const OnSignal stop(base, SIGTERM, leave);
     if (fleet)
-      fleet->attach({[&broker] { broker.route().turn(); }, [&broker] { broker.ask_agent(); },
-                     [&broker](const std::string& node) { return broker.clear(node); },
-                     [&broker] { broker.not_ready(); }, leave});
+      fleet->attach({[&broker] { broker.dispatcher().run_actions(); },
+                     [&broker] { broker.refresh_endpoint_list(); },
+                     [&broker](const std::string& node) { return broker.drain_endpoint(node); },
+                     [&broker] { broker.set_not_ready(); }, leave});
     // Danger: a file that is missing, half written or wrong. Nothing of it is taken.
     const OnSignal reload(base, SIGHUP, [&] {
       if (fleet) fleet->change_keys();
       try {
-        broker.change(read_config(path));
+        broker.apply_config(read_config(path));
       } catch (const std::exception& e) {
         log("config", "the old one stays in force: %s", e.what());
       }
--- a/src/cluster/cluster_node.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -8,7 +8,7 @@
 
 #include "base/clock.h"
 #include "base/log.h"
-#include "dispatch/query.h"
+#include "dispatch/request.h"
 #include "membership/message_codec.h"
 #include "shared_config.pb.h"
 #include "zone_failover/zone_report.h"
@@ -451,7 +451,7 @@
   std::vector<bool> near(static_cast<std::size_t>(cells_), false);
   for (const auto& [name, s] : listed_) {
     if (!s.ready) continue;
-    if (s.zone == zones_->terms().home && s.cell < cells_ && !withheld(name, s.started))
+    if (s.zone == zones_->terms().home && s.cell < cells_ && !is_withheld(name, s.started))
       near[static_cast<std::size_t>(s.cell)] = true;
     auto& [hosts, worth] = by_zone[s.zone];
     const Time age = at - s.started;
@@ -475,23 +475,24 @@
 // A node of no known zone is not known to be elsewhere.
 int Fleet::counted_zone(int zone) const { return zone < static_cast<int>(zone_limits_.size()) ? zone : 0; }
 
-bool Fleet::sent(int zone, int op_type) {
+bool Fleet::record_attempt(int zone, int op_type) {
   return crossing_ && crossing_->sent(now(), counted_zone(zone), op_type);
 }
 
-void Fleet::ended(const dispatch::Account& whose, EndpointId node, AttemptOutcome how, Time latency) {
+void Fleet::record_attempt_end(const dispatch::TrafficAccount& whose, EndpointId node, AttemptOutcome how,
+                               Time latency) {
   if (!zones_) return;
   zones_->ended(now(), zones_->name_of(whose.zone), node, how, latency);
-  crossing_->ended(counted_zone(whose.zone), whose.op_type, whose.over_budget);
+  crossing_->ended(counted_zone(whose.zone), whose.request_class, whose.is_over_budget);
 }
 
-void Fleet::carried(const dispatch::Carried& what) {
+void Fleet::record_bytes(const dispatch::TransferredBytes& what) {
   if (crossing_)
-    crossing_->carried(now(), counted_zone(what.whose.zone), what.whose.op_type, what.whose.over_budget,
-                       what.out, what.in);
+    crossing_->carried(now(), counted_zone(what.account.zone), what.account.request_class,
+                       what.account.is_over_budget, what.sent, what.received);
 }
 
-bool Fleet::stays_near(int op_type) { return crossing_->spent(now(), op_type); }
+bool Fleet::stays_in_zone(int op_type) { return crossing_->spent(now(), op_type); }
 
 // As the options state and as the rules allow, whichever is less.
 void Fleet::limit_crossing() {
@@ -503,14 +504,15 @@
   }
 }
 
-void Fleet::asked(int op_type, const dispatch::Query& query) {
+void Fleet::record_request(int op_type, const dispatch::Request& query) {
   if (!zones_) return;
   std::size_t far = 0;
-  for (const auto& p : query.parts)
+  for (const auto& p : query.shard_requests)
     far += static_cast<std::size_t>(p->shard) < far_shards_.size() &&
            far_shards_[static_cast<std::size_t>(p->shard)];
   const double need = needs_.at(static_cast<std::size_t>(op_type));
-  zones_->asked(now(), need * static_cast<double>(query.parts.size()), need * static_cast<double>(far));
+  zones_->asked(now(), need * static_cast<double>(query.shard_requests.size()),
+                need * static_cast<double>(far));
 }
 
 void Fleet::look_behind() {
@@ -529,7 +531,7 @@
   program_.ask_agent();
 }
 
-bool Fleet::changed() {
+bool Fleet::refresh_rules() {
   const bool heard = hearsay_seen_ != hearsay_now_;
   hearsay_seen_ = hearsay_now_;
   if (!accord_) return std::exchange(shares_new_, false) || heard;
@@ -550,15 +552,17 @@
   return true;
 }
 
-const dispatch::OpLimits& Fleet::limits(int op_type) const {
+const dispatch::RequestClassLimits& Fleet::limits(int op_type) const {
   return limits_.at(static_cast<std::size_t>(op_type));
 }
-bool Fleet::two_phase(int op_type) const {
+bool Fleet::may_run_two_phase(int op_type) const {
   return applied_->rules->two_phase_off.count(op_types_.at(static_cast<std::size_t>(op_type))) == 0;
 }
-bool Fleet::index(const std::string& name) const { return applied_->rules->index_off.count(name) == 0; }
+bool Fleet::serves_index(const std::string& name) const {
+  return applied_->rules->index_off.count(name) == 0;
+}
 
-bool Fleet::withheld(const std::string& node, Time started) const {
+bool Fleet::is_withheld(const std::string& node, Time started) const {
   return (options_.share_lists && hearsay_.withheld(node, started)) ||
          applied_->rules->withheld.count(node) != 0 || applied_->rules->at_work.count(node) != 0;
 }
@@ -569,8 +573,8 @@
   hearsay_.begins(revision, whole);
   ++lists_, list_whole_ = whole;
 }
-void Fleet::list_node(const std::string& node, Time started, EndpointState state, const std::string& locality,
-                      int cell) {
+void Fleet::list_endpoint(const std::string& node, Time started, EndpointState state,
+                          const std::string& locality, int cell) {
   if (state == EndpointState::kRemoved)
     listed_.erase(node);
   else if (zones_ || works_)
@@ -596,7 +600,7 @@
   // in.
   pump(false);
 }
-void Fleet::list_anew() {
+void Fleet::list_reset() {
   hearsay_.anew();
   listed_.clear();
 }
--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -12,7 +12,7 @@
 
 #include "base/timer.h"
 #include "cluster/maintenance_agent.h"
-#include "dispatch/common.h"
+#include "dispatch/cluster_control.h"
 #include "event_log/event_log.h"
 #include "membership/swim_membership.h"
 #include "options/options.h"
@@ -26,7 +26,7 @@
 
 namespace cairnhub::cluster {
 
-class Fleet : public dispatch::Common {
+class Fleet : public dispatch::ClusterControl {
  public:
   // Throws std::runtime_error with one line where an address, a key or the folder can't be had.
   Fleet(event_base* base, const options::Fleet& options, const settings::Settings& settings,
@@ -41,31 +41,32 @@
   void leave();        // in good order: lease and lead, before it finishes what is in hand
   void gone();         // membership, as the last thing said: others hold it for running until then
 
-  // Common.
-  bool changed() override;
-  const dispatch::OpLimits& limits(int op_type) const override;
-  int sends_most() const override { return applied_->rules->sends_most; }
-  bool second_copies() const override { return applied_->rules->second_copies; }
-  bool two_phase(int op_type) const override;
-  bool index(const std::string& name) const override;
-  bool withheld(const std::string& node, Time started) const override;
-  std::uint64_t list_floor() const override { return applied_->rules->list_floor; }
+  // ClusterControl.
+  bool refresh_rules() override;
+  const dispatch::RequestClassLimits& limits(int op_type) const override;
+  int max_attempts() const override { return applied_->rules->sends_most; }
+  bool may_hedge() const override { return applied_->rules->second_copies; }
+  bool may_run_two_phase(int op_type) const override;
+  bool serves_index(const std::string& name) const override;
+  bool is_withheld(const std::string& node, Time started) const override;
+  std::uint64_t min_list_revision() const override { return applied_->rules->list_floor; }
   void list_begins(std::uint64_t revision, bool whole) override;
-  void list_node(const std::string& node, Time started, EndpointState state, const std::string& locality,
-                 int cell) override;
+  void list_endpoint(const std::string& node, Time started, EndpointState state, const std::string& locality,
+                     int cell) override;
   void list_ends() override;
-  void list_anew() override;
+  void list_reset() override;
   const std::vector<ZoneLimit>& zones() const override { return zone_limits_; }
   int zone_step() const override { return zones_ ? zones_->terms().near_step : 0; }
-  double look_around() const override { return zones_ ? zones_->terms().look_around : 0; }
+  double exploration_share() const override { return zones_ ? zones_->terms().look_around : 0; }
   int zone_of(const std::string& locality) const override { return zones_ ? zones_->number_of(locality) : 0; }
   bool stays_in_region(int op_type) const override;
-  bool sent(int zone, int op_type) override;
-  void ended(const dispatch::Account& whose, EndpointId node, AttemptOutcome how, Time latency) override;
-  void carried(const dispatch::Carried& what) override;
-  void asked(int op_type, const dispatch::Query& query) override;
-  bool budgets() const override { return crossing_ && crossing_->any(); }
-  bool stays_near(int op_type) override;
+  bool record_attempt(int zone, int op_type) override;
+  void record_attempt_end(const dispatch::TrafficAccount& whose, EndpointId node, AttemptOutcome how,
+                          Time latency) override;
+  void record_bytes(const dispatch::TransferredBytes& what) override;
+  void record_request(int op_type, const dispatch::Request& query) override;
+  bool has_byte_budgets() const override { return crossing_ && crossing_->any(); }
+  bool stays_in_zone(int op_type) override;
 
   // For the operators' address.
   const options::Fleet& options() const { return options_; }
@@ -111,7 +112,7 @@
   Timer wake_;
   Program program_;
   std::shared_ptr<const shared_config::Acting> applied_;
-  std::vector<dispatch::OpLimits> limits_;
+  std::vector<dispatch::RequestClassLimits> limits_;
   std::unique_ptr<zone_failover::Zones> zones_;
   std::unique_ptr<Works> works_;
   std::unique_ptr<shared_config::Versions> alone_;  // of zones, where there is no accord: a book of its own
--- a/src/dispatch/config.cpp
+++ b/src/dispatch/config.cpp
@@ -37,17 +37,18 @@
   const auto json = nlohmann::json::parse(all, nullptr, false);
   if (!json.is_object()) throw std::runtime_error("configuration is not a JSON object");
   Config c;
-  c.listen = text(json, "listen");
-  c.discovery = text(json, "discovery");
+  c.listen_address = text(json, "listen");
+  c.discovery_address = text(json, "discovery");
   const std::string seed = text(json, "seed");
   const auto [end, error] = std::from_chars(seed.data(), seed.data() + seed.size(), c.seed, 16);
   if (error != std::errc{} || end != seed.data() + seed.size())
     throw std::runtime_error("configuration: seed is not a number of 64 bits in hex digits");
   const auto& limits = member(json, "limits");
-  c.memory = count(limits, "memory_mb", 16) << 20;
-  c.descriptors = count(limits, "sockets", 64);
+  c.memory_bytes = count(limits, "memory_mb", 16) << 20;
+  c.max_descriptors = count(limits, "sockets", 64);
   const auto known = json.find("known");
-  if (known != json.end()) c.known = known->dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
+  if (known != json.end())
+    c.known_endpoints = known->dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
   c.settings = settings::Settings::from_json(member(json, "settings"));
   return c;
 }
--- a/src/dispatch/config.h
+++ b/src/dispatch/config.h
@@ -8,10 +8,10 @@
 namespace cairnhub::dispatch {
 
 struct Config {
-  std::string listen, discovery;
+  std::string listen_address, discovery_address;
   std::uint64_t seed = 0;
-  std::size_t memory = 0, descriptors = 0;  // hard limits of the process
-  std::string known;                        // the list as last held, JSON
+  std::size_t memory_bytes = 0, max_descriptors = 0;  // hard limits of the process
+  std::string known_endpoints;                        // the list as last held, JSON
   settings::Settings settings;
 };
 
--- a/src/dispatch/discovery_watch.h
+++ b/src/dispatch/discovery_watch.h
@@ -18,32 +18,33 @@
 namespace cairnhub::dispatch {
 
 // How long calls wait, and how soon one is given up or made again.
-struct WatchTiming {
+struct DiscoveryWatchTiming {
   // A call for changes asks to be answered after so long at the latest; drawn anew each time.
-  Time shortest_wait, longest_wait;
-  Time answer_within;  // beyond that wait
+  Time min_wait, max_wait;
+  Time answer_timeout;  // beyond that wait
   // Likewise of a call that follows a failed one.
-  Time wait_after_failure, answer_within_after_failure;
-  Time whole_list_within;  // of a call for the whole list, which doesn't wait
-  Time longest_retry;      // between failed calls
+  Time wait_after_failure, answer_timeout_after_failure;
+  Time complete_list_timeout;  // of a call for the whole list, which doesn't wait
+  Time max_retry_delay;        // between failed calls
 
   // Calls cost nothing and are answered at once.
-  static WatchTiming pushed();
+  static DiscoveryWatchTiming pushed();
   // One service answers all brokers, with a call from each of them every few seconds, and refuses what is
   // more.
-  static WatchTiming polled();
+  static DiscoveryWatchTiming polled();
 };
 
-class Watch {
+class DiscoveryWatch {
  public:
   // `largest_list`: bytes of an answer. `on_update` is called after each call has ended; its argument tells
   // whether the list was updated.
-  Watch(event_base* base, const std::string& discovery, WatchTiming timing, std::uint64_t seed,
-        std::size_t largest_list, Members& members, std::function<void(bool)> on_update);
-  ~Watch();
-  void call();
+  DiscoveryWatch(event_base* base, const std::string& discovery, DiscoveryWatchTiming timing,
+                 std::uint64_t seed, std::size_t largest_list, EndpointRegistry& members,
+                 std::function<void(bool)> on_update);
+  ~DiscoveryWatch();
+  void request_list();
   // Follows another address from now on, beginning with its whole list.
-  void move(const std::string& discovery);
+  void set_address(const std::string& discovery);
   // Asks for the whole list at once, on a new connection: the list in hand is known to be behind.
   void refresh();
   void stop();
@@ -51,21 +52,21 @@
  private:
   enum class LastCall { answered, refused, failed };
 
-  void set_address(const std::string& discovery);
+  void parse_discovery_address(const std::string& discovery);
   void on_answer(evhttp_request* request);
   void on_deadline();
   void on_failure(const char* reason, LastCall how = LastCall::failed);
   const char* take_answer(evhttp_request* request);  // what is wrong with it, or null
 
   event_base* base_;
-  const WatchTiming timing_;
+  const DiscoveryWatchTiming timing_;
   std::string host_;
   std::uint16_t port_ = 0;
   bool whole_list_ = false;  // moved, or known to be behind, and nothing heard since
   LastCall last_call_ = LastCall::answered;
   std::mt19937 random_;
   const std::size_t largest_list_;
-  Members& members_;
+  EndpointRegistry& members_;
   std::function<void(bool)> on_update_;
   evhttp_connection* connection_ = nullptr;
   Timer next_call_;
--- a/src/dispatch/endpoint_registry.cpp
+++ b/src/dispatch/endpoint_registry.cpp
@@ -50,7 +50,7 @@
 
 }  // namespace
 
-const char* Members::take(std::string_view text) {
+const char* EndpointRegistry::apply_list(std::string_view text) {
   if (too_many_values(text)) return "more values than any list has";
   const auto json = nlohmann::json::parse(text, nullptr, false);
   if (!json.is_object()) return "not a JSON object";
@@ -84,24 +84,25 @@
       return "a member has no address";
     if (cell == e.end() || !cell->is_number_unsigned() || cell->get<std::uint64_t>() > 65535)
       return "a member has no cell";
-    entry.cell = cell->get<int>();
+    entry.ring_position = cell->get<int>();
     if (const auto f = e.find("flavor"); f != e.end() && f->is_string()) entry.flavor = f->get<std::string>();
     if (const auto l = e.find("locality"); l != e.end() && l->is_string())
       entry.locality = l->get<std::string>();
     const double ms = up != e.end() && up->is_number() ? up->get<double>() : up == e.end() ? 0 : -1;
     if (!(ms >= 0 && ms < 9e12)) return "a member's start is not a time";
-    entry.started = static_cast<Time>(std::llround(ms * 1e6));
+    entry.started_at = static_cast<Time>(std::llround(ms * 1e6));
   }
 
   const auto at = revision->get<std::uint64_t>();
   // Danger: an agent that lags, or was started with an older state, would take a drained node back into use.
-  if (common_ && ((held_ && at < revision_) || at < common_->list_floor()))
+  if (common_ && ((held_ && at < revision_) || at < common_->min_list_revision()))
     return "older than what is acted on already";
   held_ = true;
   revision_ = at;
   if (common_) {
     common_->list_begins(at, whole);
-    for (const auto& e : read) common_->list_node(e.id, e.started, e.state, e.locality, e.cell);
+    for (const auto& e : read)
+      common_->list_endpoint(e.id, e.started_at, e.state, e.locality, e.ring_position);
     common_->list_ends();
   }
   ++lists_;
@@ -111,7 +112,7 @@
     if (k.id == 0) k.id = ++last_id_;
     k.entry = e;
     k.named_in = lists_;
-    k.withheld = common_ && common_->withheld(e.id, e.started);
+    k.withheld = common_ && common_->is_withheld(e.id, e.started_at);
     tell(k);
   }
   policy_.list_ends();
@@ -120,11 +121,11 @@
       if (k.named_in != lists_) k.entry.state = EndpointState::kRemoved, tell_(k.id, k.entry);
   // A list that is as new as what was heard ends what was withheld for it, of nodes that it does not name
   // too.
-  if (common_) reconsider();
+  if (common_) update_withheld();
   return nullptr;
 }
 
-void Members::tell(Known& k) {
+void EndpointRegistry::tell(Known& k) {
   Entry told = k.entry;
   if (k.withheld && told.state == EndpointState::kReady) told.state = EndpointState::kDraining;
   const int zone = common_ ? common_->zone_of(told.locality) : 0;
@@ -134,14 +135,15 @@
     zones_.erase(k.id);
   // A node of no known zone is as near as any; what comes of it tells nothing of the own one.
   const bool known = common_ && zone < static_cast<int>(common_->zones().size());
-  policy_.list_endpoint(k.id, told.state, told.started, told.cell, known ? zone : 0);
+  policy_.list_endpoint(k.id, told.state, told.started_at, told.ring_position, known ? zone : 0);
   tell_(k.id, told);
 }
 
-void Members::reconsider() {
+void EndpointRegistry::update_withheld() {
   bool begun = false;
   for (auto& [name, k] : known_) {
-    const bool withheld = k.entry.state == EndpointState::kReady && common_->withheld(name, k.entry.started);
+    const bool withheld =
+        k.entry.state == EndpointState::kReady && common_->is_withheld(name, k.entry.started_at);
     if (k.entry.state != EndpointState::kReady || withheld == k.withheld) continue;
     if (!std::exchange(begun, true)) policy_.list_begins(now(), false);
     k.withheld = withheld;
@@ -149,36 +151,36 @@
   }
 }
 
-std::string Members::name_of(EndpointId id) const {
+std::string EndpointRegistry::name_of(EndpointId id) const {
   for (const auto& [name, k] : known_)
     if (k.id == id) return name;
   return "";
 }
 
-EndpointId Members::id_of(const std::string& name) const {
+EndpointId EndpointRegistry::id_of(const std::string& name) const {
   const auto it = known_.find(name);
   return it == known_.end() ? 0 : it->second.id;
 }
 
-std::vector<std::string> Members::ready_in(int cell) const {
+std::vector<std::string> EndpointRegistry::ready_at(int cell) const {
   std::vector<std::string> all;
   for (const auto& [name, k] : known_)
-    if (k.entry.cell == cell && k.entry.state == EndpointState::kReady) all.push_back(name);
+    if (k.entry.ring_position == cell && k.entry.state == EndpointState::kReady) all.push_back(name);
   return all;
 }
 
-int Members::ready() const {
+int EndpointRegistry::ready_count() const {
   int n = 0;
   for (const auto& [name, k] : known_) n += k.entry.state == EndpointState::kReady;
   return n;
 }
 
-int Members::zone_of(EndpointId id) const {
+int EndpointRegistry::zone_of(EndpointId id) const {
   const auto it = zones_.find(id);
   return it == zones_.end() ? 0 : it->second;
 }
 
-void Members::forget(EndpointId id) {
+void EndpointRegistry::forget(EndpointId id) {
   zones_.erase(id);
   std::erase_if(known_, [&](const auto& known) { return known.second.id == id; });
 }
--- a/src/dispatch/endpoint_registry.h
+++ b/src/dispatch/endpoint_registry.h
@@ -10,43 +10,43 @@
 #include <vector>
 
 #include "base/address.h"
-#include "dispatch/common.h"
+#include "dispatch/cluster_control.h"
 #include "policy/request_policy.h"
 
 namespace cairnhub::dispatch {
 
-class Members {
+class EndpointRegistry {
  public:
   struct Entry {
     std::string id, flavor, locality;
     Address address;
     EndpointState state;
-    Time started;
-    int cell;
+    Time started_at;
+    int ring_position;
   };
   // `tell` learns what the list says of each node, the policy the whole list.
-  using Tell = std::function<void(EndpointId, const Entry&)>;
-  Members(RequestPolicy& policy, Tell tell) : policy_(policy), tell_(std::move(tell)) {}
+  using EndpointUpdated = std::function<void(EndpointId, const Entry&)>;
+  EndpointRegistry(RequestPolicy& policy, EndpointUpdated tell) : policy_(policy), tell_(std::move(tell)) {}
 
   // Takes a list or changes to it. Nothing of a malformed one is taken: returns what is wrong with it, or
   // null.
-  const char* take(std::string_view json);
+  const char* apply_list(std::string_view json);
   // From now on nodes are withheld as brokers know in common, and no list is taken that is older than one
   // they act on.
-  void hold(Common& common) { common_ = &common; }
-  void reconsider();  // what is withheld may have changed
-  void anew() {       // another agent: its revisions aren't those of the list in hand
+  void set_cluster_control(ClusterControl& common) { common_ = &common; }
+  void update_withheld();  // what is withheld may have changed
+  void reset_revision() {  // another agent: its revisions aren't those of the list in hand
     revision_ = 0;
-    if (common_) common_->list_anew();
+    if (common_) common_->list_reset();
   }
   void forget(EndpointId id);
   int zone_of(EndpointId id) const;                 // 0 where it isn't known
   std::string name_of(EndpointId id) const;         // empty where it isn't known
   EndpointId id_of(const std::string& name) const;  // 0 where it isn't known
   // Names of nodes in service, by cell.
-  std::vector<std::string> ready_in(int cell) const;
-  int ready() const;
-  bool held() const { return held_; }
+  std::vector<std::string> ready_at(int cell) const;
+  int ready_count() const;
+  bool has_list() const { return held_; }
   std::uint64_t revision() const { return revision_; }
 
  private:
@@ -58,8 +58,8 @@
   };
   void tell(Known& k);
   RequestPolicy& policy_;
-  Tell tell_;
-  Common* common_ = nullptr;
+  EndpointUpdated tell_;
+  ClusterControl* common_ = nullptr;
   std::map<std::string, Known> known_;
   std::unordered_map<EndpointId, int> zones_;  // of those not in zone 0; looked up, never walked
   EndpointId last_id_ = 0;
--- a/src/dispatch/in_flight_requests.h
+++ b/src/dispatch/in_flight_requests.h
@@ -6,33 +6,33 @@
 #include <vector>
 
 #include "dispatch/backend.h"
-#include "dispatch/query.h"
+#include "dispatch/request.h"
 
 namespace cairnhub::dispatch {
 
-class Book {
+class InFlightRequests {
  public:
   // `memory`: of the process; values come in only while half of it isn't taken.
-  Book(RequestPolicy& policy, std::size_t memory) : policy_(policy), most_(memory / 2) {}
+  InFlightRequests(RequestPolicy& policy, std::size_t memory) : policy_(policy), most_(memory / 2) {}
 
-  Query& open(std::unique_ptr<Query> query);          // gives it and its parts their ids
+  Request& add(std::unique_ptr<Request> query);       // gives it and its parts their ids
   RequestId next_id() const { return last_id_ + 1; }  // of the next opened
-  Query* query(RequestId id) const;
-  Part* part(RequestId id) const;
-  bool holds(const std::string& name) const { return names_.count(name) != 0; }
-  std::size_t held() const { return names_.size(); }
-  std::size_t bytes() const { return bytes_; }  // taken by what is in hand, about
+  Request* find_request(RequestId id) const;
+  ShardRequest* find_shard_request(RequestId id) const;
+  bool contains(const std::string& name) const { return names_.count(name) != 0; }
+  std::size_t count() const { return names_.size(); }
+  std::size_t memory_bytes() const { return bytes_; }  // taken by what is in hand, about
   // Multigets are taken while those in hand take less than a quarter of the memory; the rest is for values to
   // come, connections and the program. Danger: a flood. What is turned away has sent nothing, so trying again
   // is harmless.
-  bool full() const { return bytes_ >= most_ / 2; }
+  bool is_full() const { return bytes_ >= most_ / 2; }
   // What is held for a client beside its multigets, before and after a change of it.
-  void recount(std::size_t before, std::size_t after) { bytes_ += after - before; }
+  void adjust_memory(std::size_t before, std::size_t after) { bytes_ += after - before; }
 
   // What became of it; the attempt itself may be gone once this returns.
-  AttemptOutcome ended(Attempt& attempt, const Result& result);
-  bool hand_over();          // what was noted goes to the policy; false where there was nothing
-  void close(Query& query);  // answered or abandoned: kept until its last send has ended
+  AttemptOutcome record_attempt_end(Attempt& attempt, const AttemptResult& result);
+  bool report_attempt_ends();  // what was noted goes to the policy; false where there was nothing
+  void close(Request& query);  // answered or abandoned: kept until its last send has ended
 
  private:
   struct Note {
@@ -41,14 +41,14 @@
     AttemptOutcome outcome;
     Time latency;
   };
-  void forget_if_done(Query& query);
+  void forget_if_done(Request& query);
 
   RequestPolicy& policy_;
   std::size_t most_, bytes_ = 0;
   RequestId last_id_ = 0;
-  std::unordered_map<RequestId, std::unique_ptr<Query>> queries_;  // looked up, never walked
-  std::unordered_map<RequestId, Part*> parts_;
-  std::unordered_map<std::string, Query*> names_;  // of those still open
+  std::unordered_map<RequestId, std::unique_ptr<Request>> queries_;  // looked up, never walked
+  std::unordered_map<RequestId, ShardRequest*> parts_;
+  std::unordered_map<std::string, Request*> names_;  // of those still open
   std::vector<Note> notes_;
 };
 
--- a/src/dispatch/request_trace.h
+++ b/src/dispatch/request_trace.h
@@ -8,25 +8,26 @@
 #include <functional>
 #include <string>
 
-#include "dispatch/query.h"
+#include "dispatch/request.h"
 
 namespace cairnhub::dispatch {
 
-class Trace {
+class RequestTrace {
  public:
-  using Names = std::function<std::string(EndpointId)>;  // a node's name in the list; empty where unknown
-  explicit Trace(Names names);
-  bool on() const { return on_; }
+  using EndpointNames =
+      std::function<std::string(EndpointId)>;  // a node's name in the list; empty where unknown
+  explicit RequestTrace(EndpointNames names);
+  bool is_enabled() const { return on_; }
   // `how`: what the client was told, or that it left; `come_back` where it was told when (0: not told).
-  void ended(const Query& query, const char* how, Time come_back) const;
+  void record_end(const Request& query, const char* how, Time come_back) const;
 
  private:
-  Names names_;
+  EndpointNames names_;
   bool on_;
 };
 
 // The line itself at `now`, without its end of line.
-std::string trace_line(const Query& query, const char* how, Time come_back, Time now,
-                       const Trace::Names& names);
+std::string format_trace_line(const Request& query, const char* how, Time come_back, Time now,
+                              const RequestTrace::EndpointNames& names);
 
 }  // namespace cairnhub::dispatch
--- a/src/dispatch/two_phase_runner.cpp
+++ b/src/dispatch/two_phase_runner.cpp
@@ -8,69 +8,70 @@
 namespace cairnhub::dispatch {
 
 // An op type, and the numbers under which the decision module knows its rounds.
-struct Phased::Op {
+struct TwoPhaseRunner::Op {
   two_phase::Planner planner;
   int match, again, fetch;
 };
 
-struct Phased::Run {
+struct TwoPhaseRunner::Run {
   RunId id = 0;
   Op& op;
   std::string name;
   bool client_retry = false;
-  std::unique_ptr<PhasedClient> client;
+  std::unique_ptr<TwoPhaseCallbacks> client;
   two_phase::Plan plan;
-  std::vector<dispatch::Query*> open;  // by round; null once ended
-  std::size_t held = 0;                // as counted in the book
+  std::vector<dispatch::Request*> open;  // by round; null once ended
+  std::size_t held = 0;                  // as counted in the book
   Time due = kNever;
   bool queued = false;
 };
 
 // The client of one round: tells the plan what comes.
-class Phased::Sub : public Client {
+class TwoPhaseRunner::Sub : public RequestCallbacks {
  public:
-  Sub(Phased& home, Run& run, int round) : home_(home), run_(run), round_(round) {}
-  Use use(const Part& part, std::string_view value) override {
-    const auto& parts = part.query->parts;
+  Sub(TwoPhaseRunner& home, Run& run, int round) : home_(home), run_(run), round_(round) {}
+  ValueUse on_value(const ShardRequest& part, std::string_view value) override {
+    const auto& parts = part.request->shard_requests;
     const auto at = std::find_if(parts.begin(), parts.end(), [&](const auto& p) { return p.get() == &part; });
     const int block = run_.plan.round(round_).blocks[static_cast<std::size_t>(at - parts.begin())];
     const char* wrong = run_.plan.came(round_, block, value);
     home_.recount(run_);
     home_.look_at(run_);
     if (wrong) log("phases", "%s: %s", part.name.c_str(), wrong);
-    return wrong ? Use::spoilt : Use::taken;
+    return wrong ? ValueUse::kInvalid : ValueUse::kTaken;
   }
-  void answered(const dispatch::Query& q, bool whole) override {
+  void on_response(const dispatch::Request& q, bool whole) override {
     ended(q, whole ? two_phase::RoundEnd::whole : two_phase::RoundEnd::in_part, 0);
   }
-  void pushed_back(const dispatch::Query& q, Time come_back) override {
-    const bool sent =
-        std::any_of(q.parts.begin(), q.parts.end(), [](const auto& p) { return !p->attempts.empty(); });
+  void on_rejected(const dispatch::Request& q, Time come_back) override {
+    const bool sent = std::any_of(q.shard_requests.begin(), q.shard_requests.end(),
+                                  [](const auto& p) { return !p->attempts.empty(); });
     ended(q, sent ? two_phase::RoundEnd::failed : two_phase::RoundEnd::pushed_back, come_back);
   }
-  void failed(const dispatch::Query& q) override { ended(q, two_phase::RoundEnd::failed, 0); }
+  void on_failed(const dispatch::Request& q) override { ended(q, two_phase::RoundEnd::failed, 0); }
 
   // Which blocks were really asked: undrawn parts stay unsent.
-  static void note_sent(Run& run, int round, const dispatch::Query& q) {
+  static void note_sent(Run& run, int round, const dispatch::Request& q) {
     const two_phase::Round& r = run.plan.round(round);
     if (r.kind != two_phase::RoundKind::match) return;
-    for (std::size_t i = 0; i < q.parts.size(); ++i)
-      if (!q.parts[i]->attempts.empty()) run.plan.sent(r.blocks[i]);
+    for (std::size_t i = 0; i < q.shard_requests.size(); ++i)
+      if (!q.shard_requests[i]->attempts.empty()) run.plan.sent(r.blocks[i]);
   }
 
  private:
-  void ended(const dispatch::Query& q, two_phase::RoundEnd how, Time come_back) {
+  void ended(const dispatch::Request& q, two_phase::RoundEnd how, Time come_back) {
     note_sent(run_, round_, q);
     run_.open[round_] = nullptr;
     run_.plan.round_ended(now(), round_, how, come_back);
     home_.look_at(run_);
   }
-  Phased& home_;
+  TwoPhaseRunner& home_;
   Run& run_;
   int round_;
 };
 
-Phased::Phased(event_base* base, RequestPolicy& policy, Book& book, Route& route, int op_types)
+TwoPhaseRunner::TwoPhaseRunner(event_base* base, RequestPolicy& policy, InFlightRequests& book,
+                               RequestDispatcher& route, int op_types)
     : policy_(policy), book_(book), route_(route), op_types_(op_types), wake_(base, [this] {
         while (!wakes_.empty() && wakes_.begin()->first <= now()) {
           Run& run = *runs_.at(wakes_.begin()->second);
@@ -78,12 +79,12 @@
           look_at(run);
         }
         if (!wakes_.empty()) wake_.start(wakes_.begin()->first - now());
-        route_.turn();
+        route_.run_actions();
       }) {}
 
-Phased::~Phased() = default;
+TwoPhaseRunner::~TwoPhaseRunner() = default;
 
-void Phased::allow(int op_type, const RequestClass& op, const two_phase::Terms& terms) {
+void TwoPhaseRunner::add_class(int op_type, const RequestClass& op, const two_phase::Terms& terms) {
   // Each round has a time of its own, which ends it; until then it's worth going on.
   RequestClass derived = op;
   derived.late_value_share = 1;
@@ -93,7 +94,7 @@
   Op& mine = *ops_[op_type];
   const auto add = [&](const RequestClass& o) {
     policy_.add_request_class(o);
-    route_.derived(op_types_, op_type);
+    route_.add_derived_class(op_types_, op_type);
     return op_types_++;
   };
   mine.match = add(derived);
@@ -101,21 +102,22 @@
   derived.required_share = derived.min_answer_share = 1;
   mine.again = add(derived);
   mine.fetch = add(derived);
-  limit(op_type, route_.limits(op_type));
+  limit_class(op_type, route_.limits(op_type));
 }
 
-void Phased::limit(int op_type, const OpLimits& limits) {
+void TwoPhaseRunner::limit_class(int op_type, const RequestClassLimits& limits) {
   const auto it = ops_.find(op_type);
   if (it == ops_.end()) return;
   Op& op = *it->second;
-  op.planner.limit(limits.budget_most, limits.least);
-  policy_.limit_request_class(op.match, limits.budget_most, limits.least);
+  op.planner.limit(limits.max_latency_objective, limits.min_answer_share);
+  policy_.limit_request_class(op.match, limits.max_latency_objective, limits.min_answer_share);
   for (const int one_block : {op.again, op.fetch})
-    policy_.limit_request_class(one_block, limits.budget_most, 0);
+    policy_.limit_request_class(one_block, limits.max_latency_objective, 0);
 }
 
-std::function<void()> Phased::take(const std::string& name, int op_type, bool client_retry,
-                                   two_phase::Query query, std::unique_ptr<PhasedClient> client) {
+std::function<void()> TwoPhaseRunner::start(const std::string& name, int op_type, bool client_retry,
+                                            two_phase::Query query,
+                                            std::unique_ptr<TwoPhaseCallbacks> client) {
   const RunId id = ++last_id_;
   Op& op = *ops_.at(op_type);
   auto run = std::make_unique<Run>(Run{id,
@@ -128,21 +130,21 @@
   names_.insert(name);
   recount(*run);
   look_at(*(runs_[id] = std::move(run)));
-  route_.turn();
+  route_.run_actions();
   return [this, id] { left(id); };
 }
 
-void Phased::look_at(Run& run) {
+void TwoPhaseRunner::look_at(Run& run) {
   if (!std::exchange(run.queued, true)) agenda_.push_back(run.id);
 }
 
 // What plans hold counts towards the bound on what is in hand.
-void Phased::recount(Run& run) {
+void TwoPhaseRunner::recount(Run& run) {
   const std::size_t before = std::exchange(run.held, run.plan.bytes());
-  book_.recount(before, run.held);
+  book_.adjust_memory(before, run.held);
 }
 
-bool Phased::follow_up() {
+bool TwoPhaseRunner::advance_plans() {
   if (agenda_.empty()) return false;
   while (!agenda_.empty()) {
     const auto it = runs_.find(agenda_.front());
@@ -152,7 +154,7 @@
   return true;
 }
 
-void Phased::pull(Run& run) {
+void TwoPhaseRunner::pull(Run& run) {
   run.queued = false;
   while (const auto d = run.plan.next(now())) {
     if (d->kind != two_phase::Decision::Kind::ask) return finish(run, *d);
@@ -162,7 +164,7 @@
 }
 
 // The one wake-up that a run has. kNever: none.
-void Phased::sleep(Run& run, Time until) {
+void TwoPhaseRunner::sleep(Run& run, Time until) {
   if (run.due == until) return;
   if (run.due != kNever) wakes_.erase({run.due, run.id});
   if ((run.due = until) == kNever) return;
@@ -170,53 +172,53 @@
   wake_.start(wakes_.begin()->first - now());
 }
 
-void Phased::ask(Run& run, int round) {
+void TwoPhaseRunner::ask(Run& run, int round) {
   const two_phase::Round& r = run.plan.round(round);
-  auto q = std::make_unique<dispatch::Query>();
+  auto q = std::make_unique<dispatch::Request>();
   q->name = run.name + "/" + std::to_string(round);
-  while (book_.holds(q->name)) q->name += '\'';  // Danger: another client may have chosen the very name
-  q->text = run.plan.take_text(round);
-  q->op_type = r.kind == two_phase::RoundKind::match   ? run.op.match
-               : r.kind == two_phase::RoundKind::again ? run.op.again
-                                                       : run.op.fetch;
-  q->client_retry = run.client_retry && r.kind == two_phase::RoundKind::match;
-  q->left = r.span;
-  q->values_most = SIZE_MAX;  // the plan takes them, and the memory bound holds
+  while (book_.contains(q->name)) q->name += '\'';  // Danger: another client may have chosen the very name
+  q->body = run.plan.take_text(round);
+  q->request_class = r.kind == two_phase::RoundKind::match   ? run.op.match
+                     : r.kind == two_phase::RoundKind::again ? run.op.again
+                                                             : run.op.fetch;
+  q->is_client_retry = run.client_retry && r.kind == two_phase::RoundKind::match;
+  q->time_left = r.span;
+  q->max_value_bytes = SIZE_MAX;  // the plan takes them, and the memory bound holds
   for (const int b : r.blocks) {
-    auto p = std::make_unique<Part>();
+    auto p = std::make_unique<ShardRequest>();
     p->shard = run.plan.block(b).shard;
     p->weight = r.kind == two_phase::RoundKind::match ? run.plan.block(b).weight : 1;
     p->name = q->name + "." + std::to_string(p->shard);
-    q->parts.push_back(std::move(p));
+    q->shard_requests.push_back(std::move(p));
   }
-  q->client = std::make_unique<Sub>(*this, run, round);
+  q->callbacks = std::make_unique<Sub>(*this, run, round);
   run.open.resize(static_cast<std::size_t>(round) + 1);
   run.open[round] = q.get();
-  route_.arrived(std::move(q));
+  route_.start_request(std::move(q));
 }
 
 // Rule 1: what is still out of any round ends with the answer, within the turn that gives it.
-void Phased::finish(Run& run, const two_phase::Decision& d) {
+void TwoPhaseRunner::finish(Run& run, const two_phase::Decision& d) {
   for (std::size_t i = 0; i < run.open.size(); ++i)
     if (run.open[i]) Sub::note_sent(run, static_cast<int>(i), *run.open[i]);
   const auto client = std::move(run.client);
   if (d.kind == two_phase::Decision::Kind::answer)
-    client->answered(run.plan, d.whole);
+    client->on_response(run.plan, d.whole);
   else
-    client->pushed_back(d.span);
+    client->on_rejected(d.span);
   const auto kept = std::move(runs_.extract(run.id).mapped());
   stop(*kept);
 }
 
-void Phased::stop(Run& run) {
+void TwoPhaseRunner::stop(Run& run) {
   names_.erase(run.name);
   sleep(run, kNever);
-  for (dispatch::Query*& q : run.open)
-    if (q) route_.abandoned(std::exchange(q, nullptr)->id);
-  book_.recount(run.held, 0);
+  for (dispatch::Request*& q : run.open)
+    if (q) route_.abandon_request(std::exchange(q, nullptr)->id);
+  book_.adjust_memory(run.held, 0);
 }
 
-void Phased::left(RunId id) {
+void TwoPhaseRunner::left(RunId id) {
   auto node = runs_.extract(id);
   if (!node.empty()) stop(*node.mapped());
 }
--- a/src/dispatch/two_phase_runner.h
+++ b/src/dispatch/two_phase_runner.h
@@ -18,32 +18,33 @@
 namespace cairnhub::dispatch {
 
 // Who waits for a two-phase multiget. A front stands behind this. One of the two is called, once.
-class PhasedClient {
+class TwoPhaseCallbacks {
  public:
-  virtual ~PhasedClient() = default;
-  virtual void answered(const two_phase::Plan& plan, bool whole) = 0;
-  virtual void pushed_back(Time come_back) = 0;  // 0 = no advice; trying again is harmless
+  virtual ~TwoPhaseCallbacks() = default;
+  virtual void on_response(const two_phase::Plan& plan, bool whole) = 0;
+  virtual void on_rejected(Time come_back) = 0;  // 0 = no advice; trying again is harmless
 };
 
-class Phased {
+class TwoPhaseRunner {
  public:
   // `op_types`: how many the settings have told the policy; those of rounds come after them.
-  Phased(event_base* base, RequestPolicy& policy, Book& book, Route& route, int op_types);
-  ~Phased();
+  TwoPhaseRunner(event_base* base, RequestPolicy& policy, InFlightRequests& book, RequestDispatcher& route,
+                 int op_types);
+  ~TwoPhaseRunner();
 
   // Lets multigets of an op type have two phases; once each, after the settings' own op types. Only retriable
   // ones: a plan may ask a block again.
-  void allow(int op_type, const RequestClass& op, const two_phase::Terms& terms);
-  void limit(int op_type, const OpLimits& limits);  // as the policy's of that op type
-  bool allowed(int op_type) const { return ops_.count(op_type) != 0 && route_.two_phase(op_type); }
-  int op_types() const { return op_types_; }  // of the policy, those of rounds included
-  bool holds(const std::string& name) const { return names_.count(name) != 0; }
+  void add_class(int op_type, const RequestClass& op, const two_phase::Terms& terms);
+  void limit_class(int op_type, const RequestClassLimits& limits);  // as the policy's of that op type
+  bool is_allowed(int op_type) const { return ops_.count(op_type) != 0 && route_.may_run_two_phase(op_type); }
+  int class_count() const { return op_types_; }  // of the policy, those of rounds included
+  bool contains(const std::string& name) const { return names_.count(name) != 0; }
 
   // Returns what to call should the client leave.
-  std::function<void()> take(const std::string& name, int op_type, bool client_retry, two_phase::Query query,
-                             std::unique_ptr<PhasedClient> client);
+  std::function<void()> start(const std::string& name, int op_type, bool client_retry, two_phase::Query query,
+                              std::unique_ptr<TwoPhaseCallbacks> client);
   // At the end of each turn: what follows for the plans that were told something. False where nothing did.
-  bool follow_up();
+  bool advance_plans();
 
  private:
   struct Op;
@@ -61,8 +62,8 @@
   void sleep(Run& run, Time until);
 
   RequestPolicy& policy_;
-  Book& book_;
-  Route& route_;
+  InFlightRequests& book_;
+  RequestDispatcher& route_;
   int op_types_;  // of the policy, those added here included
   std::map<int, std::unique_ptr<Op>> ops_;
   std::map<RunId, std::unique_ptr<Run>> runs_;
--- a/src/frontend/http/http_server.cpp
+++ b/src/frontend/http/http_server.cpp
@@ -109,14 +109,14 @@
 };
 
 // The reply that a request waits for.
-class TakeIn::Waiting : public dispatch::Reply {
+class TakeIn::Waiting : public dispatch::Responder {
  public:
   explicit Waiting(ClientState& client) : client_(&client) { client.waiting = this; }
   ~Waiting() override {
     if (client_ && client_->waiting == this) client_->waiting = nullptr;
   }
   void left() { client_ = nullptr; }
-  void answer(int status, std::string_view come_back, std::string body, const char* type) override {
+  void respond(int status, std::string_view come_back, std::string body, const char* type) override {
     if (!client_) return;  // the client has left
     ClientState& client = *client_;
     evhttp_request* r = std::exchange(client.request, nullptr);
@@ -150,7 +150,7 @@
 }
 
 TakeIn::TakeIn(event_base* base, const std::string& listen, int pause_at, std::size_t most_idle,
-               std::size_t unfinished_most, platform::Admit& admit, dispatch::Route& route)
+               std::size_t unfinished_most, platform::Admit& admit, dispatch::RequestDispatcher& route)
     : base_(base),
       pause_at_(pause_at),
       most_idle_(most_idle),
@@ -358,19 +358,19 @@
   watch_for_departure(client);
   // Danger: nothing may be sent on for a client that has gone. The event of its end, just asked for, closes.
   if (peer_closed(socket_of(client.connection))) return;
-  std::unique_ptr<dispatch::Reply> reply = std::make_unique<Waiting>(client);
-  if (const char* wrong = framing(r)) return reply->answer(400, "", std::string(wrong) + "\n");
+  std::unique_ptr<dispatch::Responder> reply = std::make_unique<Waiting>(client);
+  if (const char* wrong = framing(r)) return reply->respond(400, "", std::string(wrong) + "\n");
   const char* stated = evhttp_uri_get_path(evhttp_request_get_evhttp_uri(r));
   const std::string_view path = stated ? stated : "";
   if (path == "/_health")
-    return ready_ && can_serve_ ? reply->answer(200, "", "ready\n")
-                                : reply->answer(503, "", ready_ ? "no servers known yet\n" : "leaving\n");
+    return ready_ && can_serve_ ? reply->respond(200, "", "ready\n")
+                                : reply->respond(503, "", ready_ ? "no servers known yet\n" : "leaving\n");
   const auto front =
       std::find_if(fronts_.begin(), fronts_.end(), [&](const Front* f) { return f->takes(path); });
   const bool post = evhttp_request_get_command(r) == EVHTTP_REQ_POST;
   // Danger: what is sent on so late may be unanswered when the process is killed.
-  if (closed_) return reply->answer(503, "", "leaving; trying again elsewhere is harmless\n");
-  if (!post && front == fronts_.end()) return reply->answer(405, "", "only POST here\n");
+  if (closed_) return reply->respond(503, "", "leaving; trying again elsewhere is harmless\n");
+  if (!post && front == fronts_.end()) return reply->respond(405, "", "only POST here\n");
   const evkeyvalq* headers = evhttp_request_get_input_headers(r);
   const auto header = [&](const char* name) -> const char* {
     const char* found = nullptr;
@@ -394,7 +394,7 @@
     leave = (*front)->take(asked, std::move(reply));
   } else {
     const RequestId id = admit_.take(asked, std::move(reply));
-    leave = [this, id] { route_.abandoned(id); };
+    leave = [this, id] { route_.abandon_request(id); };
   }
   if (client.request) client.leave = std::move(leave);  // else answered already
 }
--- a/src/frontend/http/http_server.h
+++ b/src/frontend/http/http_server.h
@@ -27,7 +27,7 @@
   virtual bool takes(std::string_view path) const = 0;
   // Returns what to call should the client leave before it's answered.
   virtual std::function<void()> take(const platform::Asked& asked,
-                                     std::unique_ptr<dispatch::Reply> reply) = 0;
+                                     std::unique_ptr<dispatch::Responder> reply) = 0;
 };
 
 class TakeIn {
@@ -37,7 +37,7 @@
   // that have been answered, those idle longest are let go. `unfinished_most`: bytes of unfinished requests,
   // over all connections.
   TakeIn(event_base* base, const std::string& listen, int pause_at, std::size_t most_idle,
-         std::size_t unfinished_most, platform::Admit& admit, dispatch::Route& route);
+         std::size_t unfinished_most, platform::Admit& admit, dispatch::RequestDispatcher& route);
   ~TakeIn();
 
   void not_ready() { ready_ = false; }  // whoever asks for its health is told so
@@ -84,7 +84,7 @@
   Timer early_bytes_timer_;  // for clients that wrote ahead: whether they have left
   Timer accept_again_;
   platform::Admit& admit_;
-  dispatch::Route& route_;
+  dispatch::RequestDispatcher& route_;
   std::vector<Front*> fronts_;
   std::vector<bufferevent*>
       just_accepted_;  // accepted in this turn of the loop; held until they get their state
--- a/src/frontend/opensearch/opensearch_frontend.cpp
+++ b/src/frontend/opensearch/opensearch_frontend.cpp
@@ -67,7 +67,7 @@
 
 // A request of the API, of one search or many: answered once, when all of them have ended.
 struct Front::Job {
-  std::unique_ptr<dispatch::Reply> reply;
+  std::unique_ptr<dispatch::Responder> reply;
   std::vector<os::Outcome> outcomes;
   std::vector<RequestId> open;  // by slot; 0 once ended
   std::vector<Time> come_back;
@@ -87,12 +87,12 @@
   void answer() {
     const os::Outcome all = form(*this);
     const Time advice = outcomes.size() == 1 ? come_back[0] : 0;
-    reply->answer(all.status, frontend::platform::come_back_text(advice), all.body, "application/json");
+    reply->respond(all.status, frontend::platform::come_back_text(advice), all.body, "application/json");
   }
 };
 
 // The client of one search's multiget.
-class Front::Ask : public dispatch::Client {
+class Front::Ask : public dispatch::RequestCallbacks {
  public:
   Ask(Front& home, std::shared_ptr<Job> job, Slot slot, const Index& index, os::Search search, bool counts)
       : home_(home),
@@ -101,27 +101,27 @@
         index_(index),
         search_(std::move(search)),
         counts_(counts) {}
-  ~Ask() override { home_.book_.recount(held_, 0); }
+  ~Ask() override { home_.book_.adjust_memory(held_, 0); }
 
-  Use use(const dispatch::Part& part, std::string_view value) override {
+  ValueUse on_value(const dispatch::ShardRequest& part, std::string_view value) override {
     auto answer = std::make_unique<os::BlockAnswer>();
     const char* wrong = os::read_answer(value, search_, index_.name, part.shard - index_.first, *answer);
     if (wrong) {
       log("search", "%s: %s", part.name.c_str(), wrong);
       unusable_[part.shard] = wrong;
-      return Use::spoilt;
+      return ValueUse::kInvalid;
     }
     const std::size_t before = held_;
     held_ += 2 * value.size();
-    home_.book_.recount(before, held_);
+    home_.book_.adjust_memory(before, held_);
     answers_[part.shard] = std::move(answer);
-    return Use::taken;
+    return ValueUse::kTaken;
   }
-  void answered(const dispatch::Query& q, bool whole) override {
+  void on_response(const dispatch::Request& q, bool whole) override {
     const os::Shards shards = standing(q, whole);
     std::vector<os::Part> parts;
     for (const auto& [block, a] : answers_) parts.push_back({block, a.get()});
-    const bool all_in = answers_.size() == q.parts.size();
+    const bool all_in = answers_.size() == q.shard_requests.size();
     auto merged = os::merge(search_, parts, all_in);
     if (const auto* f = std::get_if<os::Fault>(&merged)) return job_->end(slot_, os::fault(*f));
     const auto& m = std::get<os::Merged>(merged);
@@ -132,19 +132,19 @@
     job_->end(slot_, counts_ ? os::count_answer(m, shards, whole)
                              : os::search_answer(search_, m, shards, whole, took));
   }
-  void pushed_back(const dispatch::Query& q, Time come_back) override {
-    const bool sent =
-        std::any_of(q.parts.begin(), q.parts.end(), [](auto& p) { return !p->attempts.empty(); });
+  void on_rejected(const dispatch::Request& q, Time come_back) override {
+    const bool sent = std::any_of(q.shard_requests.begin(), q.shard_requests.end(),
+                                  [](auto& p) { return !p->attempts.empty(); });
     job_->end(slot_, sent ? os::failed(standing(q, false)) : os::pushed_back(), come_back);
   }
-  void failed(const dispatch::Query& q) override { job_->end(slot_, os::failed(standing(q, false))); }
+  void on_failed(const dispatch::Request& q) override { job_->end(slot_, os::failed(standing(q, false))); }
 
  private:
   // What became of each block, from its last send.
-  os::Shards standing(const dispatch::Query& q, bool whole) const {
+  os::Shards standing(const dispatch::Request& q, bool whole) const {
     os::Shards s;
-    s.total = static_cast<int>(q.parts.size());
-    for (const auto& p : q.parts) {
+    s.total = static_cast<int>(q.shard_requests.size());
+    for (const auto& p : q.shard_requests) {
       if (answers_.count(p->shard)) continue;
       if (whole) {
         ++s.skipped;  // enough others are in
@@ -154,7 +154,7 @@
       f.index = index_.name, f.block = p->shard - index_.first;
       if (!p->attempts.empty()) {
         const dispatch::Attempt& last = *p->attempts.back();
-        f.node = home_.around_.node_name(last.node);
+        f.node = home_.around_.node_name(last.endpoint);
         f.how = how(last);
         const auto why = unusable_.find(p->shard);
         if (f.how == os::Failure::How::error && why != unusable_.end())
@@ -165,8 +165,8 @@
     return s;
   }
   static os::Failure::How how(const dispatch::Attempt& e) {
-    if (!e.ended) return os::Failure::How::timed_out;
-    switch (e.how) {
+    if (!e.has_ended) return os::Failure::How::timed_out;
+    switch (e.outcome) {
       case AttemptOutcome::kQueueFull:
         return os::Failure::How::rejected;
       case AttemptOutcome::kConnectFailed:
@@ -195,15 +195,15 @@
   bool counts_;
 };
 
-Front::Front(std::vector<Index> indices, const os::Limits& limits, dispatch::Book& book,
-             dispatch::Route& route, const Surroundings& around)
+Front::Front(std::vector<Index> indices, const os::Limits& limits, dispatch::InFlightRequests& book,
+             dispatch::RequestDispatcher& route, const Surroundings& around)
     : indices_(std::move(indices)), limits_(limits), book_(book), route_(route), around_(around) {}
 
 bool Front::takes(std::string_view path) const { return known_verb(split(path).second); }
 
 const Index* Front::find(const std::string& name) const {
   for (const Index& i : indices_) {
-    if (!route_.index(i.name)) continue;  // taken out by rules that brokers hold in common
+    if (!route_.serves_index(i.name)) continue;  // taken out by rules that brokers hold in common
     if (i.name == name || ((name.empty() || name == "_all" || name == "*") && indices_.size() == 1))
       return &i;
   }
@@ -211,17 +211,17 @@
 }
 
 std::function<void()> Front::take(const frontend::platform::Asked& asked,
-                                  std::unique_ptr<dispatch::Reply> reply) {
+                                  std::unique_ptr<dispatch::Responder> reply) {
   const auto [index, verb] = split(asked.path);
   const auto says = [&](const os::Outcome& o) {
-    reply->answer(o.status, "", o.body, "application/json");
+    reply->respond(o.status, "", o.body, "application/json");
     return nullptr;
   };
   if (verb == "_cluster/health") return says(health());
-  if (verb == "_cat/shards") return reply->answer(200, "", cat_shards(index), "text/plain"), nullptr;
+  if (verb == "_cat/shards") return reply->respond(200, "", cat_shards(index), "text/plain"), nullptr;
   if (asked.method != "POST")
     return says(os::fault({405, "illegal_argument_exception", "only POST here: a GET has no body"}));
-  if (book_.full()) return says(os::pushed_back());
+  if (book_.is_full()) return says(os::pushed_back());
   if (verb == "_msearch") return msearch(asked, index, std::move(reply));
   if (verb == "_mget") return mget(asked, index, std::move(reply));
   return search(asked, index, verb == "_count", std::move(reply));
@@ -232,34 +232,34 @@
   return [this, job] {
     job->gone = true;
     for (RequestId& id : job->open)
-      if (id) route_.abandoned(std::exchange(id, 0));
+      if (id) route_.abandon_request(std::exchange(id, 0));
   };
 }
 
 void Front::begin(const std::shared_ptr<Job>& job, Slot slot, const Index& index, const os::Search& search,
                   const std::string& body, bool counts) {
   // Danger: a thousand searches in one request. Each counts by itself.
-  if (book_.full()) return job->end(slot, os::pushed_back());
-  auto q = std::make_unique<dispatch::Query>();
+  if (book_.is_full()) return job->end(slot, os::pushed_back());
+  auto q = std::make_unique<dispatch::Request>();
   do q->name = "os" + std::to_string(++asked_);
-  while (book_.holds(q->name));
-  q->op_type = index.op_type;
-  q->text = body;
-  q->left = search.timeout ? std::min(*search.timeout, index.timeout) : index.timeout;
-  q->values_most = SIZE_MAX;  // what is kept of them is counted as it comes
+  while (book_.contains(q->name));
+  q->request_class = index.op_type;
+  q->body = body;
+  q->time_left = search.timeout ? std::min(*search.timeout, index.timeout) : index.timeout;
+  q->max_value_bytes = SIZE_MAX;  // what is kept of them is counted as it comes
   for (int b = 0; b < index.blocks; ++b) {
-    auto p = std::make_unique<dispatch::Part>();
+    auto p = std::make_unique<dispatch::ShardRequest>();
     p->shard = index.first + b, p->weight = 1.0 / index.blocks;
     p->name = q->name + "." + std::to_string(p->shard);
-    p->target = "/" + index.name + "/_search?preference=_shards:" + std::to_string(b);
-    q->parts.push_back(std::move(p));
+    p->http_target = "/" + index.name + "/_search?preference=_shards:" + std::to_string(b);
+    q->shard_requests.push_back(std::move(p));
   }
-  q->client = std::make_unique<Ask>(*this, job, slot, index, search, counts);
+  q->callbacks = std::make_unique<Ask>(*this, job, slot, index, search, counts);
   job->open[slot] = book_.next_id();
-  route_.arrived(std::move(q));
+  route_.start_request(std::move(q));
 }
 
-std::shared_ptr<Front::Job> Front::job(std::unique_ptr<dispatch::Reply> reply, std::size_t slots,
+std::shared_ptr<Front::Job> Front::job(std::unique_ptr<dispatch::Responder> reply, std::size_t slots,
                                        std::function<os::Outcome(Job&)> form) {
   auto job = std::make_shared<Job>();
   job->reply = std::move(reply), job->form = std::move(form);
@@ -270,9 +270,9 @@
 }
 
 std::function<void()> Front::search(const frontend::platform::Asked& asked, const std::string& name,
-                                    bool counts, std::unique_ptr<dispatch::Reply> reply) {
+                                    bool counts, std::unique_ptr<dispatch::Responder> reply) {
   const auto refuse = [&](const os::Fault& f) {
-    reply->answer(f.status, "", os::error_body(f), "application/json");
+    reply->respond(f.status, "", os::error_body(f), "application/json");
     return nullptr;
   };
   const Index* index = find(name);
@@ -293,10 +293,10 @@
 }
 
 std::function<void()> Front::msearch(const frontend::platform::Asked& asked, const std::string& name,
-                                     std::unique_ptr<dispatch::Reply> reply) {
+                                     std::unique_ptr<dispatch::Responder> reply) {
   auto read = os::read_msearch(asked.body, name, limits_);
   if (const auto* f = std::get_if<os::Fault>(&read))
-    return reply->answer(f->status, "", os::error_body(*f), "application/json"), nullptr;
+    return reply->respond(f->status, "", os::error_body(*f), "application/json"), nullptr;
   const auto& items = std::get<std::vector<os::Item>>(read);
   const auto j = job(std::move(reply), items.size(), [](Job& j) {
     std::string body = "{\"took\":" + std::to_string((now() - j.began) / 1'000'000) + ",\"responses\":[";
@@ -326,10 +326,10 @@
 // Where a document stands isn't known, so every block is asked; found nowhere means so only if all of them
 // answered.
 std::function<void()> Front::mget(const frontend::platform::Asked& asked, const std::string& name,
-                                  std::unique_ptr<dispatch::Reply> reply) {
+                                  std::unique_ptr<dispatch::Responder> reply) {
   auto read = os::read_mget(asked.body, name, limits_);
   if (const auto* f = std::get_if<os::Fault>(&read))
-    return reply->answer(f->status, "", os::error_body(*f), "application/json"), nullptr;
+    return reply->respond(f->status, "", os::error_body(*f), "application/json"), nullptr;
   const auto gets = std::get<std::vector<os::Get>>(read);
   std::map<std::string, std::vector<std::string>> by_index;
   for (const os::Get& g : gets) {
--- a/src/frontend/opensearch/opensearch_frontend.h
+++ b/src/frontend/opensearch/opensearch_frontend.h
@@ -32,11 +32,11 @@
 
 class Front : public frontend::Front {
  public:
-  Front(std::vector<Index> indices, const cairnhub::opensearch::Limits& limits, dispatch::Book& book,
-        dispatch::Route& route, const Surroundings& around);
+  Front(std::vector<Index> indices, const cairnhub::opensearch::Limits& limits,
+        dispatch::InFlightRequests& book, dispatch::RequestDispatcher& route, const Surroundings& around);
   bool takes(std::string_view path) const override;
   std::function<void()> take(const frontend::platform::Asked& asked,
-                             std::unique_ptr<dispatch::Reply> reply) override;
+                             std::unique_ptr<dispatch::Responder> reply) override;
 
  private:
   struct Job;
@@ -44,24 +44,24 @@
   using Slot = std::size_t;
 
   std::function<void()> search(const frontend::platform::Asked& asked, const std::string& index, bool counts,
-                               std::unique_ptr<dispatch::Reply> reply);
+                               std::unique_ptr<dispatch::Responder> reply);
   std::function<void()> msearch(const frontend::platform::Asked& asked, const std::string& index,
-                                std::unique_ptr<dispatch::Reply> reply);
+                                std::unique_ptr<dispatch::Responder> reply);
   std::function<void()> mget(const frontend::platform::Asked& asked, const std::string& index,
-                             std::unique_ptr<dispatch::Reply> reply);
+                             std::unique_ptr<dispatch::Responder> reply);
   cairnhub::opensearch::Outcome health() const;
   std::string cat_shards(const std::string& index) const;
   const Index* find(const std::string& name) const;
   void begin(const std::shared_ptr<Job>& job, Slot slot, const Index& index,
              const cairnhub::opensearch::Search& search, const std::string& body, bool counts);
-  static std::shared_ptr<Job> job(std::unique_ptr<dispatch::Reply> reply, std::size_t slots,
+  static std::shared_ptr<Job> job(std::unique_ptr<dispatch::Responder> reply, std::size_t slots,
                                   std::function<cairnhub::opensearch::Outcome(Job&)> form);
   std::function<void()> leaves(const std::shared_ptr<Job>& job);
 
   std::vector<Index> indices_;
   cairnhub::opensearch::Limits limits_;
-  dispatch::Book& book_;
-  dispatch::Route& route_;
+  dispatch::InFlightRequests& book_;
+  dispatch::RequestDispatcher& route_;
   const Surroundings& around_;
   std::uint64_t asked_ = 0;
 };
--- a/src/frontend/platform/request_parser.h
+++ b/src/frontend/platform/request_parser.h
@@ -22,15 +22,15 @@
 
 class Admit {
  public:
-  Admit(const settings::Settings& s, dispatch::Book& book, dispatch::Route& route);
+  Admit(const settings::Settings& s, dispatch::InFlightRequests& book, dispatch::RequestDispatcher& route);
 
   // Takes it, and returns its id; or refuses it with a plain answer, and returns 0.
-  RequestId take(const Asked& asked, std::unique_ptr<dispatch::Reply> reply);
+  RequestId take(const Asked& asked, std::unique_ptr<dispatch::Responder> reply);
 
   // For fronts of other forms: what is wrong, or null.
-  const char* read_head(const Asked& asked, dispatch::Query& into) const;  // all but the body
-  const char* read_parts(const nlohmann::json& body, dispatch::Query& into) const;
-  bool full() const { return book_.full(); }
+  const char* read_head(const Asked& asked, dispatch::Request& into) const;  // all but the body
+  const char* read_parts(const nlohmann::json& body, dispatch::Request& into) const;
+  bool full() const { return book_.is_full(); }
   // The HTTP status that says so of what read_head or read_parts found wrong.
   static int status_of(const char* wrong);
 
@@ -39,12 +39,12 @@
     int index;
     Time route_timeout;
   };
-  const char* read(const Asked& asked, dispatch::Query& into) const;
+  const char* read(const Asked& asked, dispatch::Request& into) const;
 
   std::unordered_map<std::string, OpRead> op_types_;
   int shards_;
-  dispatch::Book& book_;
-  dispatch::Route& route_;
+  dispatch::InFlightRequests& book_;
+  dispatch::RequestDispatcher& route_;
 };
 
 }  // namespace cairnhub::frontend::platform
--- a/src/frontend/platform/response_writer.cpp
+++ b/src/frontend/platform/response_writer.cpp
@@ -21,13 +21,13 @@
   }
 }
 
-class PlatformClient : public dispatch::Client {
+class PlatformClient : public dispatch::RequestCallbacks {
  public:
-  explicit PlatformClient(std::unique_ptr<dispatch::Reply> reply) : reply_(std::move(reply)) {}
-  void answered(const dispatch::Query& q, bool whole) override {
+  explicit PlatformClient(std::unique_ptr<dispatch::Responder> reply) : reply_(std::move(reply)) {}
+  void on_response(const dispatch::Request& q, bool whole) override {
     std::string body = std::string("{\"finished\":") + (whole ? "true" : "false") + ",\"found\":[";
     bool first = true;
-    for (const auto& p : q.parts) {
+    for (const auto& p : q.shard_requests) {
       if (!p->value) continue;
       body += first ? "{\"bucket\":" : ",{\"bucket\":";
       body += std::to_string(p->shard) + ",\"item\":\"";
@@ -35,22 +35,22 @@
       body += "\"}";
       first = false;
     }
-    reply_->answer(200, "", body + "]}");
+    reply_->respond(200, "", body + "]}");
   }
-  void pushed_back(const dispatch::Query&, Time come_back) override {
-    reply_->answer(503, come_back_text(come_back), "not now; trying again is harmless\n");
+  void on_rejected(const dispatch::Request&, Time come_back) override {
+    reply_->respond(503, come_back_text(come_back), "not now; trying again is harmless\n");
   }
-  void failed(const dispatch::Query&) override {
-    reply_->answer(500, "", "given up; it may have taken effect\n");
+  void on_failed(const dispatch::Request&) override {
+    reply_->respond(500, "", "given up; it may have taken effect\n");
   }
 
  private:
-  std::unique_ptr<dispatch::Reply> reply_;
+  std::unique_ptr<dispatch::Responder> reply_;
 };
 
 }  // namespace
 
-std::unique_ptr<dispatch::Client> client(std::unique_ptr<dispatch::Reply> reply) {
+std::unique_ptr<dispatch::RequestCallbacks> client(std::unique_ptr<dispatch::Responder> reply) {
   return std::make_unique<PlatformClient>(std::move(reply));
 }
 
--- a/src/frontend/platform/response_writer.h
+++ b/src/frontend/platform/response_writer.h
@@ -4,11 +4,11 @@
 #include <memory>
 #include <string>
 
-#include "dispatch/query.h"
+#include "dispatch/request.h"
 
 namespace cairnhub::frontend::platform {
 
-std::unique_ptr<dispatch::Client> client(std::unique_ptr<dispatch::Reply> reply);
+std::unique_ptr<dispatch::RequestCallbacks> client(std::unique_ptr<dispatch::Responder> reply);
 
 std::string come_back_text(Time come_back);  // seconds; empty where there is no advice
 
--- a/src/frontend/two_phase/two_phase_frontend.cpp
+++ b/src/frontend/two_phase/two_phase_frontend.cpp
@@ -16,10 +16,10 @@
 }
 
 // The client of one two-phase multiget: what came of it, in JSON. Details go in as the bytes that hosts gave.
-class Waiting : public dispatch::PhasedClient {
+class Waiting : public dispatch::TwoPhaseCallbacks {
  public:
-  explicit Waiting(std::unique_ptr<dispatch::Reply> reply) : reply_(std::move(reply)) {}
-  void answered(const cairnhub::two_phase::Plan& plan, bool whole) override {
+  explicit Waiting(std::unique_ptr<dispatch::Responder> reply) : reply_(std::move(reply)) {}
+  void on_response(const cairnhub::two_phase::Plan& plan, bool whole) override {
     const cairnhub::two_phase::Report r = plan.report();
     ordered_json head{{"whole", whole}, {"why", r.why}, {"match", phase(r.match)}, {"fetch", phase(r.fetch)}};
     head["match"]["blocks"] = r.blocks;
@@ -41,14 +41,15 @@
       body.back() = ',';
       body.append("\"detail\":").append(detail) += '}';
     });
-    reply_->answer(200, "", body + "]}");
+    reply_->respond(200, "", body + "]}");
   }
-  void pushed_back(Time come_back) override {
-    reply_->answer(503, frontend::platform::come_back_text(come_back), "not now; trying again is harmless\n");
+  void on_rejected(Time come_back) override {
+    reply_->respond(503, frontend::platform::come_back_text(come_back),
+                    "not now; trying again is harmless\n");
   }
 
  private:
-  std::unique_ptr<dispatch::Reply> reply_;
+  std::unique_ptr<dispatch::Responder> reply_;
 };
 
 // Milliseconds, decimals allowed.
@@ -60,7 +61,7 @@
 
 }  // namespace
 
-std::string read_body(std::string_view text, const frontend::platform::Admit& admit, dispatch::Query& parts,
+std::string read_body(std::string_view text, const frontend::platform::Admit& admit, dispatch::Request& parts,
                       cairnhub::two_phase::Query& into) {
   const auto body = nlohmann::json::parse(text, nullptr, false);
   if (!body.is_object()) return "the body is not a JSON object";
@@ -83,31 +84,31 @@
   }
   if (!asks) return "query is missing";
   if (const char* wrong = admit.read_parts(body, parts)) return wrong;
-  for (const auto& p : parts.parts) into.blocks.push_back({p->shard, p->weight});
+  for (const auto& p : parts.shard_requests) into.blocks.push_back({p->shard, p->weight});
   return "";
 }
 
 std::function<void()> Front::take(const frontend::platform::Asked& said,
-                                  std::unique_ptr<dispatch::Reply> reply) {
+                                  std::unique_ptr<dispatch::Responder> reply) {
   frontend::platform::Asked asked = said;
   asked.op_type = said.path.substr(kPath.size());
-  if (said.method != "POST") return reply->answer(405, "", "only POST here\n"), nullptr;
-  dispatch::Query head;
+  if (said.method != "POST") return reply->respond(405, "", "only POST here\n"), nullptr;
+  dispatch::Request head;
   cairnhub::two_phase::Query query;
   if (const char* wrong = admit_.read_head(asked, head)) {
-    reply->answer(frontend::platform::Admit::status_of(wrong), "", std::string(wrong) + "\n");
-  } else if (!phased_.allowed(head.op_type)) {
-    reply->answer(403, "", "two-phase multigets of this op type are not allowed\n");
-  } else if (phased_.holds(head.name)) {
-    reply->answer(400, "", "X-Txn is that of a request in hand\n");
+    reply->respond(frontend::platform::Admit::status_of(wrong), "", std::string(wrong) + "\n");
+  } else if (!phased_.is_allowed(head.request_class)) {
+    reply->respond(403, "", "two-phase multigets of this op type are not allowed\n");
+  } else if (phased_.contains(head.name)) {
+    reply->respond(400, "", "X-Txn is that of a request in hand\n");
   } else if (const std::string wrong = read_body(asked.body, admit_, head, query); !wrong.empty()) {
-    reply->answer(400, "", wrong + "\n");
+    reply->respond(400, "", wrong + "\n");
   } else if (admit_.full()) {
-    reply->answer(503, "", "too many in hand\n");
+    reply->respond(503, "", "too many in hand\n");
   } else {
-    query.left = head.left;
-    return phased_.take(head.name, head.op_type, head.client_retry, std::move(query),
-                        std::make_unique<Waiting>(std::move(reply)));
+    query.left = head.time_left;
+    return phased_.start(head.name, head.request_class, head.is_client_retry, std::move(query),
+                         std::make_unique<Waiting>(std::move(reply)));
   }
   return nullptr;
 }
--- a/src/frontend/two_phase/two_phase_frontend.h
+++ b/src/frontend/two_phase/two_phase_frontend.h
@@ -8,19 +8,20 @@
 
 class Front : public frontend::Front {
  public:
-  Front(frontend::platform::Admit& admit, dispatch::Phased& phased) : admit_(admit), phased_(phased) {}
+  Front(frontend::platform::Admit& admit, dispatch::TwoPhaseRunner& phased)
+      : admit_(admit), phased_(phased) {}
   bool takes(std::string_view path) const override { return path.rfind(kPath, 0) == 0; }
   std::function<void()> take(const frontend::platform::Asked& asked,
-                             std::unique_ptr<dispatch::Reply> reply) override;
+                             std::unique_ptr<dispatch::Responder> reply) override;
 
  private:
   static constexpr std::string_view kPath = "/_two-phase/";
   frontend::platform::Admit& admit_;
-  dispatch::Phased& phased_;
+  dispatch::TwoPhaseRunner& phased_;
 };
 
 // What is wrong with a request's body, or empty. Every member must be known, and of its kind.
-std::string read_body(std::string_view body, const frontend::platform::Admit& admit, dispatch::Query& parts,
+std::string read_body(std::string_view body, const frontend::platform::Admit& admit, dispatch::Request& parts,
                       cairnhub::two_phase::Query& into);
 
 }  // namespace cairnhub::frontend::two_phase
--- a/src/server/broker.cpp
+++ b/src/server/broker.cpp
@@ -34,23 +34,23 @@
   const auto& s = c.settings;
   const Time idle = static_cast<Time>(kIdleShare * static_cast<double>(s.span("ceilings.keepalive", 10)));
   return {std::max(1, s.whole("ceilings.multiplex", 1)), std::max(1, s.whole("family-info.parts-a-call", 1)),
-          s.span("ceilings.connect-timeout", 1), idle, (c.descriptors - kOwnDescriptors) / kNodeShare};
+          s.span("ceilings.connect-timeout", 1), idle, (c.max_descriptors - kOwnDescriptors) / kNodeShare};
 }
-backend::SearchLimits search_limits(const dispatch::Config& c, const Extras& extras) {
+backend::SearchLimits search_limits(const dispatch::Config& c, const BrokerOptions& extras) {
   const backend::SendLimits frames = send_limits(c);
-  return {static_cast<std::size_t>(frames.calls_a_connection), frames.connections, extras.search_body_most,
-          frames.idle_at_most};
+  return {static_cast<std::size_t>(frames.calls_a_connection), frames.connections,
+          extras.max_search_body_bytes, frames.idle_at_most};
 }
 // Of the memory, what an answer of discovery may take as text; read, it takes several times that.
 constexpr std::size_t kLargestList = std::size_t{4} << 20, kListShare = 32;
 // Where the list must be subscribed to, each call loads a service that all brokers share.
-dispatch::WatchTiming watch_timing(const settings::Settings& s) {
-  return s.text("registry-mode", "automatic") == "subscribe" ? dispatch::WatchTiming::polled()
-                                                             : dispatch::WatchTiming::pushed();
+dispatch::DiscoveryWatchTiming watch_timing(const settings::Settings& s) {
+  return s.text("registry-mode", "automatic") == "subscribe" ? dispatch::DiscoveryWatchTiming::polled()
+                                                             : dispatch::DiscoveryWatchTiming::pushed();
 }
 int pause_at(const dispatch::Config& c) {
-  return static_cast<int>(c.descriptors - kOwnDescriptors / 2 -
-                          (c.descriptors - kOwnDescriptors) / kNodeShare);
+  return static_cast<int>(c.max_descriptors - kOwnDescriptors / 2 -
+                          (c.max_descriptors - kOwnDescriptors) / kNodeShare);
 }
 
 }  // namespace
@@ -58,133 +58,136 @@
 struct Broker::Stages {
   const int op_types;  // of the settings
   RequestPolicy policy;
-  dispatch::Book book;
+  dispatch::InFlightRequests book;
   backend::Sender sender;
   backend::Searcher searcher;
   backend::MixedHosts hosts;
-  dispatch::Route route;
-  dispatch::Phased phased;
-  dispatch::Members members;
+  dispatch::RequestDispatcher route;
+  dispatch::TwoPhaseRunner phased;
+  dispatch::EndpointRegistry members;
   frontend::platform::Admit admit;
-  dispatch::Watch watch;
+  dispatch::DiscoveryWatch watch;
   frontend::TakeIn take_in;
   dispatch::Config in_force;
   std::function<void()> done;
   Timer closing;
   bool door_closed = false;
   int backlog_turns = 0;  // that the listener was kept open for
-  dispatch::Common* common = nullptr;
+  dispatch::ClusterControl* common = nullptr;
   std::unordered_map<EndpointId, int> out;  // sends, where something is in common; looked up, never walked
 
-  Stages(event_base* base, const dispatch::Config& c, const Extras& extras)
+  Stages(event_base* base, const dispatch::Config& c, const BrokerOptions& extras)
       : op_types(static_cast<int>(settings::op_types(c.settings).size())),
         policy(c.seed),
-        book(policy, c.memory),
+        book(policy, c.memory_bytes),
         sender(
-            base, send_limits(c), [this](dispatch::Attempt& e, const dispatch::Result& r) { ended(e, r); },
-            [this] { route.turn(); }),
+            base, send_limits(c),
+            [this](dispatch::Attempt& e, const dispatch::AttemptResult& r) { ended(e, r); },
+            [this] { route.run_actions(); }),
         searcher(
             base, search_limits(c, extras),
-            [this](dispatch::Attempt& e, const dispatch::Result& r) { ended(e, r); },
-            [this] { route.turn(); }),
+            [this](dispatch::Attempt& e, const dispatch::AttemptResult& r) { ended(e, r); },
+            [this] { route.run_actions(); }),
         hosts(sender, searcher),
         route(
             base, policy, book, hosts,
             [this](EndpointId id) {
               members.forget(id);
-              hosts.forget(id);
+              hosts.forget_endpoint(id);
             },
-            [this] { return phased.follow_up(); }, [this](EndpointId id) { return members.name_of(id); }),
+            [this] { return phased.advance_plans(); }, [this](EndpointId id) { return members.name_of(id); }),
         phased(base, policy, book, route, op_types),
         members(policy,
-                [this](EndpointId id, const dispatch::Members::Entry& e) {
+                [this](EndpointId id, const dispatch::EndpointRegistry::Entry& e) {
                   hosts.flavored(id, e.flavor);
-                  hosts.node(id, e.id, e.address, e.state);
+                  hosts.update_endpoint(id, e.id, e.address, e.state);
                 }),
         admit(c.settings, book, route),
-        watch(base, c.discovery, watch_timing(c.settings), c.seed,
-              std::min(kLargestList, c.memory / kListShare), members,
+        watch(base, c.discovery_address, watch_timing(c.settings), c.seed,
+              std::min(kLargestList, c.memory_bytes / kListShare), members,
               [this](bool told) {
                 if (!told) policy.list_failed(now());
-                if (members.ready() > 0) take_in.can_serve();
-                route.turn();
+                if (members.ready_count() > 0) take_in.can_serve();
+                route.run_actions();
               }),
-        take_in(base, c.listen, pause_at(c), c.descriptors / kIdleClients, c.memory / kUnfinishedShare, admit,
-                route),
+        take_in(base, c.listen_address, pause_at(c), c.max_descriptors / kIdleClients,
+                c.memory_bytes / kUnfinishedShare, admit, route),
         in_force(c),
         closing(base, [this] { close(); }) {
     settings::apply(c.settings, policy);
-    route.on_departures([this] { take_in.tell_departures(); });
-    hosts.look([this] {
-      route.look();
-      route.look_at_clients();
+    route.set_departure_check([this] { take_in.tell_departures(); });
+    hosts.set_before_write([this] {
+      route.refresh_cluster_rules();
+      route.check_departures();
     });
-    if (extras.common) {
-      common = extras.common;
-      members.hold(*extras.common);
+    if (extras.cluster_control) {
+      common = extras.cluster_control;
+      members.set_cluster_control(*extras.cluster_control);
       const Time come_back =
           c.settings.flag("ceilings.retry-after", false) ? c.settings.span("ceilings.max-retry-after", 0) : 0;
-      hosts.count([this](const dispatch::Carried& c) { carried(c); });
-      route.hold(*extras.common,
-                 {[this] {
-                    const auto& s = in_force.settings;
-                    policy.set_attempts(std::min(s.whole("ceilings.try-limit", 1), common->sends_most()),
-                                        s.flag("ceilings.second-copies", false) && common->second_copies(),
-                                        s.flag("ceilings.cancel", false));
-                    for (int i = 0; i < op_types; ++i) {
-                      const dispatch::OpLimits& l = common->limits(i);
-                      policy.limit_request_class(i, l.budget_most, l.least);
-                      phased.limit(i, l);
-                    }
-                    keep_in_regions();
-                    policy.limit_zones(common->zones(), common->zone_step(), common->look_around());
-                    members.reconsider();
-                  },
-                  [this] { keep_near(); },
-                  [this](dispatch::Attempt& e) {
-                    e.account = {route.counted_as(e.part->query->op_type), members.zone_of(e.node), false};
-                    ++out[e.node];
-                    e.account.over_budget = common->sent(e.account.zone, e.account.op_type);
-                    keep_near();
-                  },
-                  come_back});
+      hosts.set_byte_counter([this](const dispatch::TransferredBytes& c) { carried(c); });
+      route.set_cluster_control(
+          *extras.cluster_control,
+          {[this] {
+             const auto& s = in_force.settings;
+             policy.set_attempts(std::min(s.whole("ceilings.try-limit", 1), common->max_attempts()),
+                                 s.flag("ceilings.second-copies", false) && common->may_hedge(),
+                                 s.flag("ceilings.cancel", false));
+             for (int i = 0; i < op_types; ++i) {
+               const dispatch::RequestClassLimits& l = common->limits(i);
+               policy.limit_request_class(i, l.max_latency_objective, l.min_answer_share);
+               phased.limit_class(i, l);
+             }
+             keep_in_regions();
+             policy.limit_zones(common->zones(), common->zone_step(), common->exploration_share());
+             members.update_withheld();
+           },
+           [this] { keep_near(); },
+           [this](dispatch::Attempt& e) {
+             e.account = {route.base_class(e.shard_request->request->request_class),
+                          members.zone_of(e.endpoint), false};
+             ++out[e.endpoint];
+             e.account.is_over_budget = common->record_attempt(e.account.zone, e.account.request_class);
+             keep_near();
+           },
+           come_back});
     }
     hosts.set_flavor(extras.search_flavor);
-    for (const auto& t : extras.two_phase) phased.allow(t.op_type, t.op, t.terms);
+    for (const auto& t : extras.two_phase_classes) phased.add_class(t.request_class, t.definition, t.terms);
     if (common) keep_in_regions();
     policy.start();
-    if (!c.known.empty())
-      if (const char* wrong = members.take(c.known))
+    if (!c.known_endpoints.empty())
+      if (const char* wrong = members.apply_list(c.known_endpoints))
         log("discovery", "the list in the configuration: %s", wrong);
-    if (members.ready() > 0) take_in.can_serve();
-    route.turn();
-    watch.call();
+    if (members.ready_count() > 0) take_in.can_serve();
+    route.run_actions();
+    watch.request_list();
   }
 
-  void ended(dispatch::Attempt& e, const dispatch::Result& r) {
+  void ended(dispatch::Attempt& e, const dispatch::AttemptResult& r) {
     // Danger: the book forgets a multiget with its last send, and the attempt with it.
-    const EndpointId node = e.node;
+    const EndpointId node = e.endpoint;
     const Time latency = now() - e.sent_at;
-    const dispatch::Account whose = e.account;
-    const AttemptOutcome how = book.ended(e, r);
+    const dispatch::TrafficAccount whose = e.account;
+    const AttemptOutcome how = book.record_attempt_end(e, r);
     if (!common) return;
     if (const auto it = out.find(node); it != out.end() && --it->second == 0) out.erase(it);
-    common->ended(whose, node, how, latency);
+    common->record_attempt_end(whose, node, how, latency);
   }
-  void carried(dispatch::Carried c) {
-    if (c.whose.zone < 0) c.whose.zone = members.zone_of(c.node);
-    common->carried(c);
+  void carried(dispatch::TransferredBytes c) {
+    if (c.account.zone < 0) c.account.zone = members.zone_of(c.endpoint);
+    common->record_bytes(c);
   }
   // Rounds of plans too, each with the op type it comes from.
   void each_op_type(const std::function<void(int, int)>& what) {
-    for (int i = 0; i < phased.op_types(); ++i) what(i, route.counted_as(i));
+    for (int i = 0; i < phased.class_count(); ++i) what(i, route.base_class(i));
   }
   void keep_in_regions() {
     each_op_type([this](int i, int from) { policy.keep_in_region(i, common->stays_in_region(from)); });
   }
   void keep_near() {
-    if (!common->budgets()) return;
-    each_op_type([this](int i, int from) { policy.keep_in_zone(i, common->stays_near(from)); });
+    if (!common->has_byte_budgets()) return;
+    each_op_type([this](int i, int from) { policy.keep_in_zone(i, common->stays_in_zone(from)); });
   }
 
   // Danger: connections that the system has completed and nobody has accepted would be reset with the
@@ -195,41 +198,42 @@
       return closing.start(0);
     }
     if (!std::exchange(door_closed, true)) take_in.stop_accepting();
-    if (book.held() > 0 || !take_in.quiet()) return closing.start(kLookAgain);
+    if (book.count() > 0 || !take_in.quiet()) return closing.start(kLookAgain);
     done();
   }
 };
 
-Broker::Broker(event_base* base, const dispatch::Config& config, const Extras& extras)
+Broker::Broker(event_base* base, const dispatch::Config& config, const BrokerOptions& extras)
     : stages_(std::make_unique<Stages>(base, config, extras)) {}
 Broker::~Broker() = default;
 
-frontend::platform::Admit& Broker::admit() { return stages_->admit; }
-dispatch::Phased& Broker::phased() { return stages_->phased; }
-dispatch::Book& Broker::book() { return stages_->book; }
-dispatch::Route& Broker::route() { return stages_->route; }
-const dispatch::Members& Broker::members() const { return stages_->members; }
-void Broker::ask_agent() { stages_->watch.refresh(); }
-int Broker::clear(const std::string& node) {
+frontend::platform::Admit& Broker::request_parser() { return stages_->admit; }
+dispatch::TwoPhaseRunner& Broker::two_phase_runner() { return stages_->phased; }
+dispatch::InFlightRequests& Broker::in_flight_requests() { return stages_->book; }
+dispatch::RequestDispatcher& Broker::dispatcher() { return stages_->route; }
+const dispatch::EndpointRegistry& Broker::endpoints() const { return stages_->members; }
+void Broker::refresh_endpoint_list() { stages_->watch.refresh(); }
+int Broker::drain_endpoint(const std::string& node) {
   const EndpointId id = stages_->members.id_of(node);
   if (id == 0) return 0;
   const auto it = stages_->out.find(id);
   if (it != stages_->out.end()) return it->second;
-  stages_->hosts.let_go(id);
+  stages_->hosts.close_idle_connections(id);
   return 0;
 }
-void Broker::not_ready() { stages_->take_in.not_ready(); }
-void Broker::add(frontend::Front& front) { stages_->take_in.add(front); }
+void Broker::set_not_ready() { stages_->take_in.not_ready(); }
+void Broker::add_frontend(frontend::Front& front) { stages_->take_in.add(front); }
 
-void Broker::change(const dispatch::Config& c) {
+void Broker::apply_config(const dispatch::Config& c) {
   dispatch::Config& had = stages_->in_force;
-  if (c.listen != had.listen) log("config", "listen has changed; that takes a restart");
-  if (c.memory != had.memory || c.descriptors != had.descriptors)
+  if (c.listen_address != had.listen_address) log("config", "listen has changed; that takes a restart");
+  if (c.memory_bytes != had.memory_bytes || c.max_descriptors != had.max_descriptors)
     log("config", "limits have changed; that takes a restart");
   if (!(c.settings == had.settings)) log("config", "settings have changed; that takes a restart");
-  log("config", "read anew; discovery %s %s", c.discovery == had.discovery ? "stays at" : "is now at",
-      c.discovery.c_str());
-  if (c.discovery != had.discovery) stages_->watch.move(had.discovery = c.discovery);
+  log("config", "read anew; discovery %s %s",
+      c.discovery_address == had.discovery_address ? "stays at" : "is now at", c.discovery_address.c_str());
+  if (c.discovery_address != had.discovery_address)
+    stages_->watch.set_address(had.discovery_address = c.discovery_address);
 }
 
 void Broker::shut_down(std::function<void()> done) {
--- a/tests/closing_order.cpp
+++ b/tests/closing_order.cpp
@@ -63,7 +63,7 @@
   Client client;
 
   explicit Rig(int servers = 1, const std::string& ceilings = {}, const std::string& seconds = "1",
-               const cairnhub::server::Extras& extras = {})
+               const cairnhub::server::BrokerOptions& extras = {})
       : broker(std::make_unique<Broker>(base, config(servers, ceilings, seconds), extras)) {}
   Rig(const Rig&) = delete;
   Rig& operator=(const Rig&) = delete;
@@ -126,7 +126,7 @@
   if (pipe(pipe_ends) != 0 || write(pipe_ends[1], "x", 1) != 1) give_up("no pipe");
   event* always = event_new(
       rig.base, pipe_ends[0], EV_READ | EV_PERSIST,
-      [](evutil_socket_t, short, void* broker) { static_cast<Broker*>(broker)->route().turn(); },
+      [](evutil_socket_t, short, void* broker) { static_cast<Broker*>(broker)->dispatcher().run_actions(); },
       rig.broker.get());
   event_add(always, nullptr);
   // Its one server refuses connections, so that no attempt's end makes the broker look at it again.
@@ -140,7 +140,9 @@
 
 // What a server has been written once the broker has nothing in hand any more.
 std::string written_to(const Rig& rig, Peer& server) {
-  const auto nothing_in_hand = [&] { return poll(nullptr, 0, 1) == 0 && rig.broker->book().held() == 0; };
+  const auto nothing_in_hand = [&] {
+    return poll(nullptr, 0, 1) == 0 && rig.broker->in_flight_requests().count() == 0;
+  };
   rig.turn_until(nothing_in_hand, "the broker keeps the request");
   rig.turn();
   char some[4096];
@@ -174,7 +176,7 @@
   const int first = is_asked(0) ? 0 : 1;
   rig.client.peer.end();
   poll(nullptr, 0, 700);  // of the second that the request has; it is overdue after half of it at the latest
-  rig.broker->route().turn();
+  rig.broker->dispatcher().run_actions();
   return written_to(rig, *servers[1 - first].peer);
 }
 
@@ -184,7 +186,7 @@
   Node server(0, 0);
   FullBacklog full(server);
   rig.client.peer.write(Client::request("m1", "all", Client::parts({0}), "30"));
-  rig.turn_until([&] { return rig.broker->book().held() > 0; }, "the request isn't read");
+  rig.turn_until([&] { return rig.broker->in_flight_requests().count() > 0; }, "the request isn't read");
   full.empty(server);
   server.accept();
   rig.client.peer.end();
@@ -239,7 +241,7 @@
 // The broker's ends of its connections (clients', two servers' of either protocol, discovery's) send what is
 // written at once.
 std::string no_delay() {
-  cairnhub::server::Extras extras;
+  cairnhub::server::BrokerOptions extras;
   extras.search_flavor = kSearchFlavor;
   Rig rig(2, "", "30", extras);
   const Node servers[] = {Node(0), Node(1)};
--- a/tests/mangled.cpp
+++ b/tests/mangled.cpp
@@ -50,8 +50,8 @@
               passed);
 }
 
-struct Silent : Reply {
-  void answer(int, std::string_view, std::string, const char*) override {}
+struct Silent : Responder {
+  void respond(int, std::string_view, std::string, const char*) override {}
 };
 
 const std::string kSettings =
@@ -67,11 +67,11 @@
         [](const std::string& b) { return backend::framed::read(b).has_value(); });
 
   RequestPolicy listed(1);
-  Members members(listed, [](EndpointId, const Members::Entry&) {});
+  EndpointRegistry members(listed, [](EndpointId, const EndpointRegistry::Entry&) {});
   tried("list",
         "{\"revision\":41,\"complete\":true,\"members\":[{\"id\":\"s-1\",\"host_port\":\"127.0.0.1:9000\","
         "\"cell\":3,\"phase\":\"in_service\",\"up_since_ms\":1700000000000}]}",
-        5000, [&](const std::string& b) { return members.take(b) == nullptr; });
+        5000, [&](const std::string& b) { return members.apply_list(b) == nullptr; });
 
   tried("settings", kSettings, 5000, [](const std::string& b) {
     try {
@@ -90,10 +90,10 @@
     const auto s = settings::Settings::from_json(nlohmann::json::parse(kSettings));
     RequestPolicy d(1);
     settings::apply(s, d);
-    Book book(d, 1 << 26);
+    InFlightRequests book(d, 1 << 26);
     backend::Sender sender(
-        base, {32, 1, kSecond, kSecond, 8}, [](Attempt&, const Result&) {}, [] {});
-    Route route(
+        base, {32, 1, kSecond, kSecond, 8}, [](Attempt&, const AttemptResult&) {}, [] {});
+    RequestDispatcher route(
         base, d, book, sender, [](EndpointId) {}, [] { return false; });
     frontend::platform::Admit admit(s, book, route);
     int n = 0;
