--- a/fuzz/messages.cpp
+++ b/fuzz/messages.cpp
@@ -98,10 +98,11 @@
     case 6:
       if (const auto r = zone_failover::decode(text)) {
         const auto again = zone_failover::decode(zone_failover::encode(*r));
-        must(again && again->zones.size() == r->zones.size() && again->home == r->home);
-        zone_failover::Evidence e({});
-        e.heard(kSecond, "other", *r);
-        for (const auto& [name, zone] : e.look(kSecond).zones) must(zone.bears >= 0 && zone.bears <= 1);
+        must(again && again->zones.size() == r->zones.size() && again->home_zone == r->home_zone);
+        zone_failover::ZoneHealthEvaluator e({});
+        e.add_report(kSecond, "other", *r);
+        for (const auto& [name, zone] : e.evaluate(kSecond).zones)
+          must(zone.sustainable_share >= 0 && zone.sustainable_share <= 1);
       }
       break;
     default: {
--- a/src/cluster/admin_api.cpp
+++ b/src/cluster/admin_api.cpp
@@ -165,17 +165,17 @@
        orders = json::object();
   const auto& limits = fleet_.zones();
   for (std::size_t i = 0; i < limits.size(); ++i)
-    acts[z.name_of(static_cast<int>(i))] = static_cast<int>(1000 * limits[i].max_share + 0.5);
+    acts[z.zone_name(static_cast<int>(i))] = static_cast<int>(1000 * limits[i].max_share + 0.5);
   if (at != held.end())
-    for (const auto& note = zone_failover::parse_note(at->second.note);
+    for (const auto& note = zone_failover::parse_decision(at->second.note);
          const auto* all : {&note.zones, &note.regions})
       for (const auto& [name, one] : *all)
         states[all == &note.zones ? name : zone_failover::region_key(name)] = {
-            {"state", zone_failover::name_of(one.state)}, {"share", one.share}};
+            {"state", zone_failover::name_of(one.state)}, {"share", one.local_share_thousandths}};
   for (const auto& [pair, most] : rules.zones.most)
     shares.push_back({{"from", pair.first}, {"to", pair.second}, {"most", most}});
   json out{{"name", fleet_.options().name},
-           {"home", z.terms().home},
+           {"home", z.options().home_zone},
            {"leader", s.leader},
            {"leads", s.leads || own},
            {"version", own ? own->newest() : s.acting.high},
@@ -188,21 +188,22 @@
   for (const auto& e : z.explain())
     seen.push_back({{"zone", e.zone},
                     {"state", zone_failover::name_of(e.state)},
-                    {"share", e.share},
-                    {"ordered", e.ordered},
-                    {"looks", zone_failover::name_of(e.view.look)},
-                    {"why", e.view.why},
-                    {"wanted", e.view.wanted},
-                    {"load", e.view.load},
-                    {"capacity", e.view.capacity},
-                    {"hosts", e.view.hosts},
-                    {"brokers", e.view.brokers}});
+                    {"share", e.local_share_thousandths},
+                    {"ordered", e.order},
+                    {"looks", zone_failover::name_of(e.health.status)},
+                    {"why", e.health.reason},
+                    {"wanted", e.health.demand_per_second},
+                    {"load", e.health.load_per_second},
+                    {"capacity", e.health.capacity_per_second},
+                    {"hosts", e.health.endpoints_in_service},
+                    {"brokers", e.health.reporting_brokers}});
   json cut = json::array();
-  for (const auto& [from, to] : z.view().cut) cut.push_back({{"from", from}, {"to", to}});
+  for (const auto& [from, to] : z.health_view().broken_links) cut.push_back({{"from", from}, {"to", to}});
   for (const auto& [zone, o] : (own ? *own : fleet_.accord()->engine()->versions()).orders())
     orders[zone] = {{"what", o.what}, {"who", o.who}, {"why", o.why}};
-  out["seen"] = seen, out["cut"] = cut, out["outvoted"] = z.view().outvoted, out["orders"] = orders;
-  out["next"] = z.why();
+  out["seen"] = seen, out["cut"] = cut, out["outvoted"] = z.health_view().outvoted_brokers,
+  out["orders"] = orders;
+  out["next"] = z.reason();
   return text(out);
 }
 
@@ -212,27 +213,29 @@
   const auto& c = *fleet_.crossing();
   const auto& names = fleet_.op_types();
   json table = json::array(), budgets = json::array();
-  for (const auto& [key, t] : c.table())
-    table.push_back({{"zone", z.name_of(key.first)},
+  for (const auto& [key, t] : c.counters())
+    table.push_back({{"zone", z.zone_name(key.first)},
                      {"crosses", key.first != 0},
                      {"op_type", key.second < 0 ? "" : names.at(static_cast<std::size_t>(key.second))},
-                     {"parts", t.parts},
-                     {"out", t.out},
-                     {"in", t.in},
-                     {"parts_over_budget", t.parts_over},
-                     {"bytes_over_budget", t.over}});
+                     {"parts", t.attempts},
+                     {"out", t.bytes_out},
+                     {"in", t.bytes_in},
+                     {"parts_over_budget", t.attempts_over_budget},
+                     {"bytes_over_budget", t.bytes_over_budget}});
   for (std::size_t i = 0; i < names.size(); ++i) {
-    const auto b = c.budget(now(), static_cast<int>(i));
-    if (b.a_second == zone_failover::kNoBudget) continue;
+    const auto b = c.budget_state(now(), static_cast<int>(i));
+    if (b.bytes_per_second == zone_failover::kNoBudget) continue;
     budgets.push_back({{"op_type", names[i]},
-                       {"bytes_a_second", b.a_second},
-                       {"left", static_cast<long long>(b.left)},
-                       {"a_send", static_cast<long long>(b.a_send)},
-                       {"sends_out", b.sends_out},
-                       {"spent", c.spent(now(), static_cast<int>(i))}});
+                       {"bytes_a_second", b.bytes_per_second},
+                       {"left", static_cast<long long>(b.remaining_bytes)},
+                       {"a_send", static_cast<long long>(b.expected_attempt_bytes)},
+                       {"sends_out", b.attempts_in_flight},
+                       {"spent", c.is_exhausted(now(), static_cast<int>(i))}});
   }
-  return text(
-      {{"name", fleet_.options().name}, {"home", z.terms().home}, {"table", table}, {"budgets", budgets}});
+  return text({{"name", fleet_.options().name},
+               {"home", z.options().home_zone},
+               {"table", table},
+               {"budgets", budgets}});
 }
 
 // The works as the log has them, and at the leader what each waits for and when it is to begin.
--- a/src/cluster/cluster_node.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -57,22 +57,22 @@
 // Parts in the window of an account that tell something.
 constexpr double kFewParts = 5;
 
-zone_failover::Terms zone_terms(const options::Zones& o) {
-  zone_failover::Terms t;
-  t.home = o.home;
+zone_failover::ZoneFailoverOptions zone_terms(const options::Zones& o) {
+  zone_failover::ZoneFailoverOptions t;
+  t.home_zone = o.home;
   for (const auto& z : o.zones) t.zones.push_back({z.name, z.region, z.host_parts_a_second});
-  t.course.confirm = o.confirm, t.course.dwell = o.dwell, t.course.dwell_most = 16 * o.dwell,
-  t.course.step = o.step;
-  t.region_course = t.course;
-  t.region_course.confirm = o.region_confirm, t.region_course.dwell = o.region_dwell,
-  t.region_course.dwell_most = 16 * o.region_dwell;
-  t.fill.headroom = o.headroom, t.fill.ground = o.ground_share;
+  t.zone_failover.confirmation_time = o.confirm, t.zone_failover.min_dwell = o.dwell,
+  t.zone_failover.max_dwell = 16 * o.dwell, t.zone_failover.step_interval = o.step;
+  t.region_failover = t.zone_failover;
+  t.region_failover.confirmation_time = o.region_confirm, t.region_failover.min_dwell = o.region_dwell,
+  t.region_failover.max_dwell = 16 * o.region_dwell;
+  t.traffic_split.headroom_share = o.headroom, t.traffic_split.min_share_thousandths = o.ground_share;
   // What is confirmed must rest on several reports.
-  t.report_every = std::max<Time>(o.confirm / 4, kSecond / 20);
-  t.window = 2 * t.report_every, t.evidence.fresh = 3 * t.report_every;
-  t.evidence.few = kFewParts / seconds(t.window);
-  t.wider_after = o.dwell;
-  t.near_step = o.near_step, t.look_around = o.look_around;
+  t.report_interval = std::max<Time>(o.confirm / 4, kSecond / 20);
+  t.load_window = 2 * t.report_interval, t.health.max_report_age = 3 * t.report_interval;
+  t.health.min_attempts_per_second = kFewParts / seconds(t.load_window);
+  t.increase_delay = o.dwell;
+  t.local_queue_advantage = o.near_step, t.exploration_share = o.look_around;
   return t;
 }
 
@@ -151,14 +151,14 @@
 }
 
 void Fleet::begin_zones(const options::Zones& o, const settings::Settings& settings) {
-  zones_ = std::make_unique<zone_failover::Zones>(zone_terms(o), options_.name);
+  zones_ = std::make_unique<zone_failover::ZoneFailover>(zone_terms(o), options_.name);
   const auto ops = settings::op_types(settings);
   for (const auto& named : ops) needs_.push_back(named.op.required_share);
   for (std::size_t i = 0; i < ops.size(); ++i)
     stays_in_region_[i] = std::count(o.stay_in_region.begin(), o.stay_in_region.end(), ops[i].name) > 0 ||
                           ops[i].op.latency_objective < kRoundTripsInBudget * o.region_round_trip;
   if (!accord_) alone_ = std::make_unique<shared_config::Versions>();
-  crossing_ = std::make_unique<zone_failover::Crossing>(o.crossing_saved, ops.size());
+  crossing_ = std::make_unique<zone_failover::CrossZoneBudget>(o.crossing_saved, ops.size());
   crossing_stated_.assign(ops.size(), zone_failover::kNoBudget);
   for (const auto& [name, most] : o.crossing)
     for (std::size_t i = 0; i < ops.size(); ++i)
@@ -221,7 +221,7 @@
   } else if (kind == kWorks && works_) {
     works_->heard(now(), program_, from, body);
   } else if (kind == kZones && zones_) {
-    if (auto r = zone_failover::decode(body)) zones_->heard(now(), from, std::move(*r));
+    if (auto r = zone_failover::decode(body)) zones_->add_report(now(), from, std::move(*r));
   }
   pump();
 }
@@ -302,7 +302,7 @@
           .with("name", c->name)
           .with("from", membership::name_of(c->from))
           .with("to", membership::name_of(c->to));
-    if (zones_ && !membership::is_live(c->to)) zones_->gone(c->name);
+    if (zones_ && !membership::is_live(c->to)) zones_->remove_broker(c->name);
     if (works_ && !membership::is_live(c->to)) works_->gone(c->name);
     if (accord_) accord_->peer(at, c->name, membership::is_live(c->to));
   }
@@ -323,7 +323,7 @@
     next = std::min(next, accord_->wake());
     if (accord_->holder().until() > at) next = std::min(next, accord_->holder().until());
   }
-  if (zones_) next = std::min(next, std::max(zones_->wake(), at + 1));
+  if (zones_) next = std::min(next, std::max(zones_->next_report_at(), at + 1));
   if (works_) next = std::min(next, std::max(works_->wake(), at + 1));
   if (behind_since_ != kNever)
     next = std::min(next, std::max(behind_since_ + kBehindFor, asked_agent_at_ + kAskAgentEvery));
@@ -374,17 +374,17 @@
       .with("until", static_cast<std::uint64_t>(until - clock_offset()));
 }
 
-std::optional<zone_failover::Report> Fleet::look_at_zones(Time at) {
-  if (at < zones_->wake()) return std::nullopt;
+std::optional<zone_failover::ZoneReport> Fleet::look_at_zones(Time at) {
+  if (at < zones_->next_report_at()) return std::nullopt;
   count_hosts();
-  return zones_->report(at);
+  return zones_->make_due_report(at);
 }
 
 // Without an accord: from its own evidence, for itself, in force at once.
 void Fleet::turn_alone() {
   const Time at = now();
   if (!look_at_zones(at)) return;
-  auto e = zones_->lead(at, *alone_);
+  auto e = zones_->propose_change(at, *alone_);
   if (!e) return;
   log("zones", "%s", e->why.c_str());
   if (event_log_)
@@ -412,8 +412,8 @@
   const std::string bytes = kZones + zone_failover::encode(*report);
   for (const auto& name : to) send_to(name, bytes);
   const auto* engine = accord_->engine();
-  if (!engine || !engine->leads()) return zones_->leads_no_more();
-  if (auto e = zones_->lead(at, engine->versions())) {
+  if (!engine || !engine->leads()) return zones_->stop_leading();
+  if (auto e = zones_->propose_change(at, engine->versions())) {
     log("zones", "%s", e->why.c_str());
     if (event_log_)
       event_log_->record_event("zones").with("why", e->why).with("note", e->note).with("id", e->id);
@@ -431,12 +431,12 @@
     const auto it = held.find(applied_->high);
     if (it != held.end()) newest = &it->second;
   }
-  zone_limits_ = zones_->limits(*applied_->rules, newest ? &newest->note : nullptr);
+  zone_limits_ = zones_->zone_limits(*applied_->rules, newest ? &newest->note : nullptr);
   shares_new_ = true;
   if (!event_log_) return;
   std::string text;
   for (std::size_t z = 0; z < zone_limits_.size(); ++z)
-    text += (z ? " " : "") + zones_->name_of(static_cast<int>(z)) + "=" +
+    text += (z ? " " : "") + zones_->zone_name(static_cast<int>(z)) + "=" +
             std::to_string(static_cast<int>(1000 * zone_limits_[z].max_share + 0.5));
   event_log_->record_event("zone_limits")
       .with("high", applied_->high)
@@ -451,7 +451,7 @@
   std::vector<bool> near(static_cast<std::size_t>(cells_), false);
   for (const auto& [name, s] : listed_) {
     if (!s.ready) continue;
-    if (s.zone == zones_->terms().home && s.cell < cells_ && !withheld(name, s.started))
+    if (s.zone == zones_->options().home_zone && s.cell < cells_ && !withheld(name, s.started))
       near[static_cast<std::size_t>(s.cell)] = true;
     auto& [hosts, worth] = by_zone[s.zone];
     const Time age = at - s.started;
@@ -460,7 +460,7 @@
                  ? 1
                  : cold_from_ + (1 - cold_from_) * std::max(0.0, seconds(age) / seconds(warm_after_));
   }
-  zones_->hosts(by_zone);
+  zones_->set_endpoints(by_zone);
   // Shard s is held by the nodes in cells s to s + width - 1.
   far_shards_.assign(near.size(), true);
   for (int s = 0; s < cells_; ++s)
@@ -476,30 +476,30 @@
 int Fleet::counted_zone(int zone) const { return zone < static_cast<int>(zone_limits_.size()) ? zone : 0; }
 
 bool Fleet::sent(int zone, int op_type) {
-  return crossing_ && crossing_->sent(now(), counted_zone(zone), op_type);
+  return crossing_ && crossing_->start_attempt(now(), counted_zone(zone), op_type);
 }
 
 void Fleet::ended(const dispatch::Account& whose, EndpointId node, AttemptOutcome how, Time latency) {
   if (!zones_) return;
-  zones_->ended(now(), zones_->name_of(whose.zone), node, how, latency);
-  crossing_->ended(counted_zone(whose.zone), whose.op_type, whose.over_budget);
+  zones_->record_attempt_result(now(), zones_->zone_name(whose.zone), node, how, latency);
+  crossing_->finish_attempt(counted_zone(whose.zone), whose.op_type, whose.over_budget);
 }
 
 void Fleet::carried(const dispatch::Carried& what) {
   if (crossing_)
-    crossing_->carried(now(), counted_zone(what.whose.zone), what.whose.op_type, what.whose.over_budget,
-                       what.out, what.in);
+    crossing_->record_bytes(now(), counted_zone(what.whose.zone), what.whose.op_type, what.whose.over_budget,
+                            what.out, what.in);
 }
 
-bool Fleet::stays_near(int op_type) { return crossing_->spent(now(), op_type); }
+bool Fleet::stays_near(int op_type) { return crossing_->is_exhausted(now(), op_type); }
 
 // As the options state and as the rules allow, whichever is less.
 void Fleet::limit_crossing() {
   for (std::size_t i = 0; i < op_types_.size(); ++i) {
     const std::int64_t most = applied_->rules->of(op_types_[i]).crossing_most;
-    crossing_->limit(now(), static_cast<int>(i),
-                     std::min(crossing_stated_[i],
-                              most == INT64_MAX ? zone_failover::kNoBudget : static_cast<double>(most)));
+    crossing_->set_limit(now(), static_cast<int>(i),
+                         std::min(crossing_stated_[i],
+                                  most == INT64_MAX ? zone_failover::kNoBudget : static_cast<double>(most)));
   }
 }
 
@@ -510,7 +510,8 @@
     far += static_cast<std::size_t>(p->shard) < far_shards_.size() &&
            far_shards_[static_cast<std::size_t>(p->shard)];
   const double need = needs_.at(static_cast<std::size_t>(op_type));
-  zones_->asked(now(), need * static_cast<double>(query.parts.size()), need * static_cast<double>(far));
+  zones_->record_demand(now(), need * static_cast<double>(query.parts.size()),
+                        need * static_cast<double>(far));
 }
 
 void Fleet::look_behind() {
@@ -574,7 +575,7 @@
   if (state == EndpointState::kRemoved)
     listed_.erase(node);
   else if (zones_ || works_)
-    listed_[node] = {zones_ ? zones_->name_of(zones_->number_of(locality)) : locality, cell, started,
+    listed_[node] = {zones_ ? zones_->zone_name(zones_->zone_number(locality)) : locality, cell, started,
                      state == EndpointState::kReady, lists_};
   hearsay_.node(node, started, state == EndpointState::kReady, state == EndpointState::kRemoved);
   if (!event_log_) return;
--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -56,15 +56,17 @@
   void list_ends() override;
   void list_anew() override;
   const std::vector<ZoneLimit>& zones() const override { return zone_limits_; }
-  int zone_step() const override { return zones_ ? zones_->terms().near_step : 0; }
-  double look_around() const override { return zones_ ? zones_->terms().look_around : 0; }
-  int zone_of(const std::string& locality) const override { return zones_ ? zones_->number_of(locality) : 0; }
+  int zone_step() const override { return zones_ ? zones_->options().local_queue_advantage : 0; }
+  double look_around() const override { return zones_ ? zones_->options().exploration_share : 0; }
+  int zone_of(const std::string& locality) const override {
+    return zones_ ? zones_->zone_number(locality) : 0;
+  }
   bool stays_in_region(int op_type) const override;
   bool sent(int zone, int op_type) override;
   void ended(const dispatch::Account& whose, EndpointId node, AttemptOutcome how, Time latency) override;
   void carried(const dispatch::Carried& what) override;
   void asked(int op_type, const dispatch::Query& query) override;
-  bool budgets() const override { return crossing_ && crossing_->any(); }
+  bool budgets() const override { return crossing_ && crossing_->has_limits(); }
   bool stays_near(int op_type) override;
 
   // For the operators' address.
@@ -74,9 +76,9 @@
   const transport::Transport& transport() const { return transport_; }
   shared_config::Accord* accord() { return accord_.get(); }
   const Works* works() const { return works_.get(); }
-  const zone_failover::Zones* zone_part() const { return zones_.get(); }
+  const zone_failover::ZoneFailover* zone_part() const { return zones_.get(); }
   const shared_config::Versions* alone() const { return alone_.get(); }  // where it decides of zones alone
-  const zone_failover::Crossing* crossing() const { return crossing_.get(); }
+  const zone_failover::CrossZoneBudget* crossing() const { return crossing_.get(); }
   const std::vector<std::string>& op_types() const { return op_types_; }
   void propose(shared_config::Entry entry, shared_config::Accord::Done done);
 
@@ -92,7 +94,7 @@
   void keep_ground();
   void note_lease();
   void look_behind();
-  std::optional<zone_failover::Report> look_at_zones(Time at);
+  std::optional<zone_failover::ZoneReport> look_at_zones(Time at);
   void turn_zones();
   void turn_alone();
   void take_zones();
@@ -112,10 +114,10 @@
   Program program_;
   std::shared_ptr<const shared_config::Acting> applied_;
   std::vector<dispatch::OpLimits> limits_;
-  std::unique_ptr<zone_failover::Zones> zones_;
+  std::unique_ptr<zone_failover::ZoneFailover> zones_;
   std::unique_ptr<Works> works_;
   std::unique_ptr<shared_config::Versions> alone_;  // of zones, where there is no accord: a book of its own
-  std::unique_ptr<zone_failover::Crossing> crossing_;
+  std::unique_ptr<zone_failover::CrossZoneBudget> crossing_;
   std::vector<double> crossing_stated_;  // bytes a second, by op type
   std::vector<ZoneLimit> zone_limits_;
   std::vector<bool> stays_in_region_;  // by op type
--- a/src/cluster/maintenance_agent.cpp
+++ b/src/cluster/maintenance_agent.cpp
@@ -32,7 +32,7 @@
 
 Works::Works(event_base* base, const options::Fleet& options, const settings::Settings& settings,
              shared_config::Accord& accord, const membership::SwimMembership& peers,
-             const zone_failover::Zones* zones, EventLog* event_log, Send send)
+             const zone_failover::ZoneFailover* zones, EventLog* event_log, Send send)
     : options_(options),
       accord_(accord),
       peers_(peers),
@@ -65,12 +65,12 @@
     if (!n.zone.empty()) f.zones.try_emplace(n.zone);
   }
   if (zones_) {
-    for (const auto& z : zones_->terms().zones) f.zones[z.name].region = z.region;
+    for (const auto& z : zones_->options().zones) f.zones[z.name].region = z.region;
     for (const auto& e : zones_->explain()) {
       const auto it = f.zones.find(e.zone);
       if (it == f.zones.end()) continue;
-      it->second.near = e.state == zone_failover::State::near;
-      it->second.load = e.view.load, it->second.capacity = e.view.capacity;
+      it->second.near = e.state == zone_failover::FailoverState::kLocal;
+      it->second.load = e.health.load_per_second, it->second.capacity = e.health.capacity_per_second;
     }
   }
   f.voters = accord_.engine()->voting();
--- a/src/cluster/maintenance_agent.h
+++ b/src/cluster/maintenance_agent.h
@@ -44,7 +44,7 @@
   using Send = std::function<void(const std::string& to, const std::string& bytes)>;
   Works(event_base* base, const options::Fleet& options, const settings::Settings& settings,
         shared_config::Accord& accord, const membership::SwimMembership& peers,
-        const zone_failover::Zones* zones, EventLog* event_log, Send send);
+        const zone_failover::ZoneFailover* zones, EventLog* event_log, Send send);
 
   Time wake() const { return conduct_.wake(); }
   // `acted`: what the core acts on; `listed`: the own list's nodes, of that revision.
@@ -65,7 +65,7 @@
   const options::Fleet& options_;
   shared_config::Accord& accord_;
   const membership::SwimMembership& peers_;
-  const zone_failover::Zones* zones_;
+  const zone_failover::ZoneFailover* zones_;
   EventLog* event_log_;
   Send send_;
   maintenance::Conduct conduct_;
--- a/src/zone_failover/cross_zone_budget.cpp
+++ b/src/zone_failover/cross_zone_budget.cpp
@@ -14,11 +14,11 @@
 
 }  // namespace
 
-double Crossing::left(Time now, const Op& op) const {
+double CrossZoneBudget::left(Time now, const Op& op) const {
   return std::min(full(op), op.left + op.a_second * seconds(now - op.at));
 }
 
-void Crossing::limit(Time now, int op_type, double bytes_a_second) {
+void CrossZoneBudget::set_limit(Time now, int op_type, double bytes_a_second) {
   Op& op = op_types_.at(static_cast<std::size_t>(op_type));
   if (op.a_second == bytes_a_second) return;
   const bool had = op.a_second != kNoBudget;
@@ -28,7 +28,7 @@
   op.left = bytes_a_second == kNoBudget ? 0 : std::min(saved, full(op));
 }
 
-bool Crossing::spent(Time now, int op_type) const {
+bool CrossZoneBudget::is_exhausted(Time now, int op_type) const {
   const Op& op = op_types_.at(static_cast<std::size_t>(op_type));
   if (op.a_second == kNoBudget) return false;
   const double has = left(now, op), one = op.most_out + op.most_in;
@@ -38,22 +38,22 @@
   return has < one * (op.sends_out + 1);
 }
 
-bool Crossing::sent(Time now, int zone, int op_type) {
-  Carriage& c = table_[{zone, op_type}];
-  ++c.parts;
+bool CrossZoneBudget::start_attempt(Time now, int zone, int op_type) {
+  ZoneTrafficCounters& c = table_[{zone, op_type}];
+  ++c.attempts;
   if (zone == 0) return false;
-  const bool over = spent(now, op_type);
+  const bool over = is_exhausted(now, op_type);
   if (over)
-    ++c.parts_over;
+    ++c.attempts_over_budget;
   else
     ++op_types_.at(static_cast<std::size_t>(op_type)).sends_out;
   return over;
 }
 
-void Crossing::carried(Time now, int zone, int op_type, bool over, long long out, long long in) {
-  Carriage& c = table_[{zone, op_type}];
-  c.out += out, c.in += in;
-  if (over) c.over += out + in;
+void CrossZoneBudget::record_bytes(Time now, int zone, int op_type, bool over, long long out, long long in) {
+  ZoneTrafficCounters& c = table_[{zone, op_type}];
+  c.bytes_out += out, c.bytes_in += in;
+  if (over) c.bytes_over_budget += out + in;
   if (op_type < 0) return;
   Op& op = op_types_.at(static_cast<std::size_t>(op_type));
   if (out > 0) follow(op.most_out, static_cast<double>(out));
@@ -62,11 +62,11 @@
   op.left = left(now, op) - static_cast<double>(out + in), op.at = now;
 }
 
-void Crossing::ended(int zone, int op_type, bool over) {
+void CrossZoneBudget::finish_attempt(int zone, int op_type, bool over) {
   if (zone != 0 && !over) --op_types_.at(static_cast<std::size_t>(op_type)).sends_out;
 }
 
-Crossing::Budget Crossing::budget(Time now, int op_type) const {
+CrossZoneBudget::BudgetState CrossZoneBudget::budget_state(Time now, int op_type) const {
   const Op& op = op_types_.at(static_cast<std::size_t>(op_type));
   return {op.a_second, op.a_second == kNoBudget ? kNoBudget : left(now, op), op.most_out + op.most_in,
           op.sends_out};
--- a/src/zone_failover/cross_zone_budget.h
+++ b/src/zone_failover/cross_zone_budget.h
@@ -19,31 +19,35 @@
 
 constexpr double kNoBudget = std::numeric_limits<double>::infinity();
 
-struct Carriage {
-  std::uint64_t parts = 0, parts_over = 0;  // sends; of them, those beyond a spent budget
-  long long out = 0, in = 0, over = 0;  // bytes to the zone, from it; of both, those beyond a spent budget
+struct ZoneTrafficCounters {
+  std::uint64_t attempts = 0, attempts_over_budget = 0;  // sends; of them, those beyond a spent budget
+  long long bytes_out = 0, bytes_in = 0,
+            bytes_over_budget = 0;  // bytes to the zone, from it; of both, those beyond a spent budget
 };
 
-class Crossing {
+class CrossZoneBudget {
  public:
-  Crossing(Time saved, std::size_t op_types) : saved_(saved), op_types_(op_types) {}
+  CrossZoneBudget(Time saved, std::size_t op_types) : saved_(saved), op_types_(op_types) {}
 
   // Bytes a second; kNoBudget: none. A first one begins full; a lesser one takes away what it would not keep.
-  void limit(Time now, int op_type, double bytes_a_second);
-  bool any() const { return limited_ > 0; }
-  bool spent(Time now, int op_type) const;
+  void set_limit(Time now, int op_type, double bytes_a_second);
+  bool has_limits() const { return limited_ > 0; }
+  bool is_exhausted(Time now, int op_type) const;
 
-  bool sent(Time now, int zone, int op_type);  // zone 0: the own one; true: beyond a spent budget
+  bool start_attempt(Time now, int zone, int op_type);  // zone 0: the own one; true: beyond a spent budget
   // `op_type` -1: of a part no longer known.
-  void carried(Time now, int zone, int op_type, bool over, long long out, long long in);
-  void ended(int zone, int op_type, bool over);
+  void record_bytes(Time now, int zone, int op_type, bool over, long long out, long long in);
+  void finish_attempt(int zone, int op_type, bool over);
 
-  struct Budget {
-    double a_second, left, a_send;  // bytes; `a_send`: what one is taken to carry, 0 where none was seen
-    int sends_out;
+  struct BudgetState {
+    double bytes_per_second, remaining_bytes,
+        expected_attempt_bytes;  // bytes; `a_send`: what one is taken to carry, 0 where none was seen
+    int attempts_in_flight;
   };
-  Budget budget(Time now, int op_type) const;
-  const std::map<std::pair<int, int>, Carriage>& table() const { return table_; }  // by zone and op type
+  BudgetState budget_state(Time now, int op_type) const;
+  const std::map<std::pair<int, int>, ZoneTrafficCounters>& counters() const {
+    return table_;
+  }  // by zone and op type
 
  private:
   struct Op {
@@ -58,7 +62,8 @@
   Time saved_;
   std::vector<Op> op_types_;
   int limited_ = 0;
-  std::map<std::pair<int, int>, Carriage> table_;  // zones by number and op types of the settings: bounded
+  std::map<std::pair<int, int>, ZoneTrafficCounters>
+      table_;  // zones by number and op types of the settings: bounded
 };
 
 }  // namespace cairnhub::zone_failover
--- a/src/zone_failover/failover_state_machine.h
+++ b/src/zone_failover/failover_state_machine.h
@@ -16,43 +16,48 @@
 
 namespace cairnhub::zone_failover {
 
-struct CourseTerms {
-  Time confirm = kSecond;     // a look must last so long before anything follows from it
-  Time dwell = 10 * kSecond;  // good for so long before the first step back
-  Time dwell_most = 160 * kSecond;
-  Time step = 2 * kSecond;  // between two steps
-  int first = 125;          // thousandths, of the first step back
-  int probe = 10;           // that go on being asked of a dead zone, so that its return is seen
+struct FailoverOptions {
+  Time confirmation_time = kSecond;  // a look must last so long before anything follows from it
+  Time min_dwell = 10 * kSecond;     // good for so long before the first step back
+  Time max_dwell = 160 * kSecond;
+  Time step_interval = 2 * kSecond;  // between two steps
+  int first_step_thousandths = 125;  // thousandths, of the first step back
+  int probe_thousandths = 10;        // that go on being asked of a dead zone, so that its return is seen
 };
 
-enum class State { near, spilling, evacuating, away, returning };
-const char* name_of(State s);
-enum class Ordered { none, evacuate, hold };
+enum class FailoverState { kLocal, kSpilling, kEvacuating, kFailedOver, kReturning };
+const char* name_of(FailoverState s);
+enum class OperatorOrder { kNone, kEvacuate, kHold };
 
-class Course {
+class FailoverStateMachine {
  public:
-  explicit Course(const CourseTerms& terms) : terms_(terms) {}
+  explicit FailoverStateMachine(const FailoverOptions& terms) : terms_(terms) {}
   // As the last version has it: a leader that is new begins from there, its times counted anew.
-  void resume(Time now, State state, int share);
+  void resume(Time now, FailoverState state, int share);
 
   // A look at it; `bears`: share of its brokers' parts, counted where it is over or fails in part.
   // `in_force`: all brokers act on the state and share told last; until then a returning zone is given no
   // more, as brokers that get several steps at once would bring back all its load in one.
-  void tell(Time now, Look look, double bears, Ordered ordered, bool in_force = true);
+  void update(Time now, ZoneStatus look, double bears, OperatorOrder ordered, bool in_force = true);
 
-  State state() const { return state_; }
-  int share() const { return share_; }  // thousandths of its brokers' parts that may stay at home
+  FailoverState state() const { return state_; }
+  int local_share_thousandths() const {
+    return share_;
+  }  // thousandths of its brokers' parts that may stay at home
   // Others may send there more than the ground allows.
-  bool takes_in() const { return state_ == State::near && looks_ != Look::dead && looks_ != Look::over; }
+  bool accepts_remote_traffic() const {
+    return state_ == FailoverState::kLocal && looks_ != ZoneStatus::kDead &&
+           looks_ != ZoneStatus::kOverloaded;
+  }
   // All that its further way depends on, for the exhaustive check.
-  std::string describe(Time now) const;
+  std::string state_key(Time now) const;
 
  private:
-  void to(Time now, State state, int share);
-  CourseTerms terms_;
-  State state_ = State::near;
+  void to(Time now, FailoverState state, int share);
+  FailoverOptions terms_;
+  FailoverState state_ = FailoverState::kLocal;
   int share_ = 1000;
-  Look looks_ = Look::good, before_ = Look::good;  // confirmed; the last told
+  ZoneStatus looks_ = ZoneStatus::kGood, before_ = ZoneStatus::kGood;  // confirmed; the last told
   Time since_ = 0, stepped_ = 0, good_since_ = kNever, dwell_ = 0;
   bool begun_ = false;
 };
--- a/src/zone_failover/traffic_split.cpp
+++ b/src/zone_failover/traffic_split.cpp
@@ -7,30 +7,33 @@
 
 namespace cairnhub::zone_failover {
 
-Filled fill(const std::vector<Place>& places, const Cut& cut, const FillTerms& terms) {
+TrafficSplit split_traffic(const std::vector<ZoneTraffic>& places, const BrokenLinks& cut,
+                           const TrafficSplitOptions& terms) {
   const std::size_t n = places.size();
-  Filled out;
-  out.shares.otherwise = terms.ground;
-  const double ground = terms.ground / 1000.0;
+  TrafficSplit out;
+  out.shares.otherwise = terms.min_share_thousandths;
+  const double ground = terms.min_share_thousandths / 1000.0;
   double all = 0;
-  for (const Place& p : places) all += p.wanted;
+  for (const ZoneTraffic& p : places) all += p.demand_per_second;
   std::vector<std::vector<bool>> ways(n, std::vector<bool>(n, false));
   for (std::size_t h = 0; h < n; ++h)
     for (std::size_t t = 0; t < n; ++t)
-      ways[h][t] =
-          h != t && places[t].takes_in && !cut.count({places[h].zone, places[t].zone}) &&
-          (places[h].region == places[t].region || (places[h].leaves > 0 && places[t].region_takes_in));
+      ways[h][t] = h != t && places[t].accepts_remote_traffic &&
+                   !cut.count({places[h].zone, places[t].zone}) &&
+                   (places[h].region == places[t].region ||
+                    (places[h].max_region_egress_share > 0 && places[t].region_accepts_remote_traffic));
   const auto open = [&](std::size_t h, std::size_t t) { return ways[h][t]; };
   const auto crosses = [&](std::size_t h, std::size_t t) { return places[h].region != places[t].region; };
   std::vector<double> excess(n), spare(n);
   std::vector<std::vector<double>> flow(n, std::vector<double>(n, 0));
   for (std::size_t z = 0; z < n; ++z) {
-    const Place& p = places[z];
-    excess[z] = p.wanted * (1 - p.share);
+    const ZoneTraffic& p = places[z];
+    excess[z] = p.demand_per_second * (1 - p.local_share);
     // The ground is everyone's at any time: it comes off the spare first.
-    if (p.takes_in)
+    if (p.accepts_remote_traffic)
       spare[z] =
-          std::max(0.0, (1 - terms.headroom) * p.capacity - p.wanted * p.share - ground * (all - p.wanted));
+          std::max(0.0, (1 - terms.headroom_share) * p.capacity_per_second -
+                            p.demand_per_second * p.local_share - ground * (all - p.demand_per_second));
   }
   // Water filling, the own region first: each home spreads what it still has over the zones open to it by
   // their spare; one that is asked for more than it has gives each the same share of what they ask.
@@ -66,7 +69,7 @@
   std::map<std::string, std::pair<double, double>> regions;  // may leave, would
   for (std::size_t z = 0; z < n; ++z) {
     auto& [most, would] = regions[places[z].region];
-    most += places[z].leaves * places[z].wanted, would += excess[z];
+    most += places[z].max_region_egress_share * places[z].demand_per_second, would += excess[z];
   }
   for (std::size_t z = 0; z < n; ++z) {
     const auto& [most, would] = regions[places[z].region];
@@ -80,7 +83,7 @@
       for (std::size_t other = 0; other < n; ++other)
         for (std::size_t to = 0; to < n && excess[h] > 0 && flow[other][t] > 0; ++to) {
           if (other == h || to == t || !open(other, to) || spare[to] <= 0) continue;
-          if (crosses(other, to) && !crosses(other, t) && places[other].leaves < 1) continue;
+          if (crosses(other, to) && !crosses(other, t) && places[other].max_region_egress_share < 1) continue;
           const double moved =
               std::min({excess[h], flow[other][t], spare[to], crosses(h, t) ? may[h] : excess[h]});
           if (moved <= 0) continue;
@@ -90,20 +93,21 @@
         }
     }
   for (std::size_t z = 0; z < n; ++z)
-    if (excess[z] > 1e-6 * all) out.left[places[z].zone] = excess[z];
+    if (excess[z] > 1e-6 * all) out.unplaced_per_second[places[z].zone] = excess[z];
   for (std::size_t t = 0; t < n; ++t) {
     double others = 0;
     for (std::size_t h = 0; h < n; ++h)
-      if (open(h, t)) others += places[h].wanted;
+      if (open(h, t)) others += places[h].demand_per_second;
     const double allowance = others > 0 ? std::min(1.0, spare[t] / others) : 0;
     for (std::size_t h = 0; h < n; ++h) {
       if (h == t) continue;
-      if (flow[h][t] > 0) out.flow[{places[h].zone, places[t].zone}] = flow[h][t];
-      const double share =
-          (places[h].wanted > 0 ? flow[h][t] / places[h].wanted : 0) + (open(h, t) ? allowance : 0) + ground;
+      if (flow[h][t] > 0) out.planned_per_second[{places[h].zone, places[t].zone}] = flow[h][t];
+      const double share = (places[h].demand_per_second > 0 ? flow[h][t] / places[h].demand_per_second : 0) +
+                           (open(h, t) ? allowance : 0) + ground;
       // Downwards: what is rounded up by all would be more than the zone can spare.
-      out.shares.set(places[h].zone, places[t].zone,
-                     std::clamp(static_cast<int>(std::floor(1000 * share + 1e-9)), terms.ground, 1000));
+      out.shares.set(
+          places[h].zone, places[t].zone,
+          std::clamp(static_cast<int>(std::floor(1000 * share + 1e-9)), terms.min_share_thousandths, 1000));
     }
   }
   return out;
--- a/src/zone_failover/traffic_split.h
+++ b/src/zone_failover/traffic_split.h
@@ -17,31 +17,33 @@
 
 namespace cairnhub::zone_failover {
 
-struct Place {
+struct ZoneTraffic {
   std::string zone, region;
-  double wanted = 0;    // parts a second asked for by its brokers' clients
-  double share = 1;     // of them that may stay at home
-  double capacity = 0;  // parts a second; 0: not known, then it has no spare
-  bool takes_in = true;
+  double demand_per_second = 0;    // parts a second asked for by its brokers' clients
+  double local_share = 1;          // of them that may stay at home
+  double capacity_per_second = 0;  // parts a second; 0: not known, then it has no spare
+  bool accepts_remote_traffic = true;
   // Of its region: the share of what its brokers ask for that may leave it, and whether it takes in from
   // others.
-  double leaves = 1;
-  bool region_takes_in = true;
+  double max_region_egress_share = 1;
+  bool region_accepts_remote_traffic = true;
 };
 
-struct Filled {
+struct TrafficSplit {
   shared_config::ZoneShares shares;
   std::map<std::pair<std::string, std::string>, double>
-      flow;                            // parts a second planned, without the allowance
-  std::map<std::string, double> left;  // parts a second of a zone's brokers that fit nowhere
+      planned_per_second;                             // parts a second planned, without the allowance
+  std::map<std::string, double> unplaced_per_second;  // parts a second of a zone's brokers that fit nowhere
 };
 
-struct FillTerms {
-  double headroom = 0.1;  // of the capacity, kept free
-  int ground = 30;  // thousandths that the common ground allows between any two, and each table at least
+struct TrafficSplitOptions {
+  double headroom_share = 0.1;  // of the capacity, kept free
+  int min_share_thousandths =
+      30;  // thousandths that the common ground allows between any two, and each table at least
 };
 
-using Cut = std::set<std::pair<std::string, std::string>>;
-Filled fill(const std::vector<Place>& places, const Cut& cut, const FillTerms& terms);
+using BrokenLinks = std::set<std::pair<std::string, std::string>>;
+TrafficSplit split_traffic(const std::vector<ZoneTraffic>& places, const BrokenLinks& cut,
+                           const TrafficSplitOptions& terms);
 
 }  // namespace cairnhub::zone_failover
--- a/src/zone_failover/zone_failover.h
+++ b/src/zone_failover/zone_failover.h
@@ -25,97 +25,100 @@
 
 namespace cairnhub::zone_failover {
 
-struct Zone {
+struct ZoneOptions {
   std::string name, region;
-  double host_capacity = 0;  // parts a second of one host; 0: not known
+  double endpoint_capacity_per_second = 0;  // parts a second of one host; 0: not known
 };
 
-struct Terms {
-  std::string home;
-  std::vector<Zone> zones;
-  EvidenceTerms evidence;
-  CourseTerms course, region_course;
-  FillTerms fill;
-  Time window = kSecond;  // of the account
-  Time report_every = kSecond / 2;
-  Time wider_after = 10 * kSecond;        // a table that allows more, and does no more, waits so long
-  double narrower = 0.125, wider = 0.25;  // changes of a share that are worth a version
-  int near_step = 8;                      // calls
-  double look_around = 0.01;
+struct ZoneFailoverOptions {
+  std::string home_zone;
+  std::vector<ZoneOptions> zones;
+  ZoneHealthOptions health;
+  FailoverOptions zone_failover, region_failover;
+  TrafficSplitOptions traffic_split;
+  Time load_window = kSecond;  // of the account
+  Time report_interval = kSecond / 2;
+  Time increase_delay = 10 * kSecond;  // a table that allows more, and does no more, waits so long
+  double decrease_threshold = 0.125,
+         increase_threshold = 0.25;  // changes of a share that are worth a version
+  int local_queue_advantage = 8;     // calls
+  double exploration_share = 0.01;
 };
 
 // What was decided last, as the note of a version tells it.
-struct Note {
-  struct One {
-    State state = State::near;
-    int share = 1000;
+struct FailoverDecision {
+  struct Target {
+    FailoverState state = FailoverState::kLocal;
+    int local_share_thousandths = 1000;
   };
-  std::map<std::string, One> zones, regions;  // no regions where there is but one
+  std::map<std::string, Target> zones, regions;  // no regions where there is but one
 };
-std::string text_of(const Note& note);
-Note parse_note(const std::string& text);  // what can't be used of it is left out
+std::string text_of(const FailoverDecision& note);
+FailoverDecision parse_decision(const std::string& text);  // what can't be used of it is left out
 
 // An order for all zones of a region is one for this name; in notes it stands under it too.
 std::string region_key(const std::string& region);
 
-struct Explained {
+struct ZoneExplanation {
   std::string zone;  // or the key of a region
-  State state;
-  int share;
-  std::string ordered;
-  ZoneView view;
+  FailoverState state;
+  int local_share_thousandths;
+  std::string order;
+  ZoneHealth health;
 };
 
-class Zones {
+class ZoneFailover {
  public:
-  Zones(const Terms& terms, const std::string& self);
+  ZoneFailover(const ZoneFailoverOptions& terms, const std::string& self);
 
   // Its own account.
-  void ended(Time now, const std::string& zone, EndpointId host, AttemptOutcome how, Time latency);
-  void asked(Time now, double parts, double far) { account_.asked(now, parts, far); }
-  void hosts(
+  void record_attempt_result(Time now, const std::string& zone, EndpointId host, AttemptOutcome how,
+                             Time latency);
+  void record_demand(Time now, double parts, double far) { account_.record_demand(now, parts, far); }
+  void set_endpoints(
       const std::map<std::string, std::pair<int, double>>& by_zone);  // in service; warm ones' worth of them
 
-  Time wake() const { return next_; }
-  std::optional<Report> report(Time now);  // for the voters, when it is due
-  void heard(Time now, const std::string& from, Report report);
-  void gone(const std::string& broker) { evidence_.gone(broker); }
+  Time next_report_at() const { return next_; }
+  std::optional<ZoneReport> make_due_report(Time now);  // for the voters, when it is due
+  void add_report(Time now, const std::string& from, ZoneReport report);
+  void remove_broker(const std::string& broker) { evidence_.remove_broker(broker); }
 
   // Where this broker leads: called after each report, answers what is to be proposed. `book`: the leader's.
-  std::optional<shared_config::Entry> lead(Time now, const shared_config::Versions& book);
-  void leads_no_more() { led_ = false; }
+  std::optional<shared_config::Entry> propose_change(Time now, const shared_config::Versions& book);
+  void stop_leading() { led_ = false; }
 
   // What this broker acts on: the rules, and the note of the newest version it holds a lease on; none:
   // without a lease. By number of the zones stated, its own the first.
-  std::vector<ZoneLimit> limits(const shared_config::Rules& rules, const std::string* note) const;
-  int number_of(const std::string& zone) const;  // one past the last where it is not stated
-  const std::string& name_of(int number) const;  // empty for that one: it tells nothing of any zone
-  const Terms& terms() const { return terms_; }
+  std::vector<ZoneLimit> zone_limits(const shared_config::Rules& rules, const std::string* note) const;
+  int zone_number(const std::string& zone) const;  // one past the last where it is not stated
+  const std::string& zone_name(int number) const;  // empty for that one: it tells nothing of any zone
+  const ZoneFailoverOptions& options() const { return terms_; }
 
-  std::vector<Explained> explain() const;  // as it decided last, where it leads
-  const View& view() const { return view_; }
-  const std::string& why() const { return why_; }  // nothing was proposed, or what
+  std::vector<ZoneExplanation> explain() const;  // as it decided last, where it leads
+  const ZoneHealthView& health_view() const { return view_; }
+  const std::string& reason() const { return why_; }  // nothing was proposed, or what
 
  private:
   struct Had {
-    Note note;
+    FailoverDecision note;
     shared_config::ZoneShares shares;
   };
-  bool worth_it(Time now, const Had& had, const Note& note, const Filled& filled, std::string& why);
+  bool worth_it(Time now, const Had& had, const FailoverDecision& note, const TrafficSplit& filled,
+                std::string& why);
   const shared_config::Order* ordered(const std::string& zone_or_region) const;
-  void look_at_regions(Time now, std::vector<Place>& places, bool newest_in_force, const Note& had,
-                       Note& note);
+  void look_at_regions(Time now, std::vector<ZoneTraffic>& places, bool newest_in_force,
+                       const FailoverDecision& had, FailoverDecision& note);
 
   std::string fresh_id(Time now);
-  Terms terms_;
+  ZoneFailoverOptions terms_;
   std::string self_;
   std::vector<std::string> order_;  // zones by number
-  std::map<std::string, const Zone*> stated_;
-  Account account_;
-  Evidence evidence_;
-  View view_;
-  std::map<std::string, Course> courses_, regions_;
-  std::map<std::string, ZoneView> region_views_;
+  std::map<std::string, const ZoneOptions*> stated_;
+  ZoneLoad account_;
+  ZoneHealthEvaluator evidence_;
+  ZoneHealthView view_;
+  std::map<std::string, FailoverStateMachine> courses_, regions_;
+  std::map<std::string, ZoneHealth> region_views_;
   std::map<std::string, shared_config::Order> ordered_;
   Time next_ = 0, changed_at_ = 0;
   bool led_ = false;
--- a/src/zone_failover/zone_health.h
+++ b/src/zone_failover/zone_health.h
@@ -14,54 +14,58 @@
 
 namespace cairnhub::zone_failover {
 
-struct EvidenceTerms {
-  Time fresh = 3 * kSecond / 2;  // older reports don't count
-  double few = 10;               // parts a second under which what became of them tells nothing
+struct ZoneHealthOptions {
+  Time max_report_age = 3 * kSecond / 2;  // older reports don't count
+  double min_attempts_per_second = 10;    // parts a second under which what became of them tells nothing
   // Shares of parts lost: from the least on a zone fails in part, from the most on it is dead.
-  double partial = 0.1, dead = 0.7;
-  double refused = 0.05;  // share turned away by full hosts, from which on a zone bears too much
-  double slow = 3;        // times the latency of the other zones
-  double full = 0.95;     // of the capacity
+  double partial_loss_share = 0.1, dead_loss_share = 0.7;
+  double overload_rejected_share =
+      0.05;                           // share turned away by full hosts, from which on a zone bears too much
+  double overload_latency_ratio = 3;  // times the latency of the other zones
+  double overload_capacity_share = 0.95;  // of the capacity
 };
 
-enum class Look { unknown, good, over, partial, dead };
-const char* name_of(Look look);
+enum class ZoneStatus { kUnknown, kGood, kOverloaded, kPartial, kDead };
+const char* name_of(ZoneStatus look);
 
-struct Report {
-  std::string home;
-  Time at = 0;        // when it was heard
-  double wanted = 0;  // parts a second
-  double far = 0;     // of them, those whose shard has no holder in service in its home
-  std::map<std::string, Reading> zones;
+struct ZoneReport {
+  std::string home_zone;
+  Time received_at = 0;          // when it was heard
+  double demand_per_second = 0;  // parts a second
+  double remote_only_demand_per_second =
+      0;  // of them, those whose shard has no holder in service in its home
+  std::map<std::string, ZoneStats> zones;
 };
 
-struct ZoneView {
-  Look look = Look::unknown;
-  double wanted = 0;    // parts a second that its brokers' clients ask for
-  double far = 0;       // of them, those whose shard has no holder there
-  double load = 0;      // parts a second that came to its hosts
-  double capacity = 0;  // 0: not known
-  double bears = 1;  // share of what its brokers ask for that it can bear, where it is over or fails in part
-  int brokers = 0, hosts = 0;  // brokers that report; hosts in service
-  std::string why;             // one line
+struct ZoneHealth {
+  ZoneStatus status = ZoneStatus::kUnknown;
+  double demand_per_second = 0;              // parts a second that its brokers' clients ask for
+  double remote_only_demand_per_second = 0;  // of them, those whose shard has no holder there
+  double load_per_second = 0;                // parts a second that came to its hosts
+  double capacity_per_second = 0;            // 0: not known
+  double sustainable_share =
+      1;  // share of what its brokers ask for that it can bear, where it is over or fails in part
+  int reporting_brokers = 0, endpoints_in_service = 0;  // brokers that report; hosts in service
+  std::string reason;                                   // one line
 };
 
-struct View {
-  std::map<std::string, ZoneView> zones;
-  std::set<std::pair<std::string, std::string>> cut;  // from the brokers of one to the hosts of the other
-  std::vector<std::string> outvoted;                  // reporters
+struct ZoneHealthView {
+  std::map<std::string, ZoneHealth> zones;
+  std::set<std::pair<std::string, std::string>>
+      broken_links;                           // from the brokers of one to the hosts of the other
+  std::vector<std::string> outvoted_brokers;  // reporters
 };
 
-class Evidence {
+class ZoneHealthEvaluator {
  public:
-  explicit Evidence(const EvidenceTerms& terms) : terms_(terms) {}
-  void heard(Time now, const std::string& from, Report report);
-  void gone(const std::string& broker) { reports_.erase(broker); }
-  View look(Time now) const;
+  explicit ZoneHealthEvaluator(const ZoneHealthOptions& terms) : terms_(terms) {}
+  void add_report(Time now, const std::string& from, ZoneReport report);
+  void remove_broker(const std::string& broker) { reports_.erase(broker); }
+  ZoneHealthView evaluate(Time now) const;
 
  private:
-  EvidenceTerms terms_;
-  std::map<std::string, Report> reports_;  // by broker
+  ZoneHealthOptions terms_;
+  std::map<std::string, ZoneReport> reports_;  // by broker
 };
 
 }  // namespace cairnhub::zone_failover
--- a/src/zone_failover/zone_report.cpp
+++ b/src/zone_failover/zone_report.cpp
@@ -15,36 +15,36 @@
 
 }  // namespace
 
-std::string encode(const Report& report) {
+std::string encode(const ZoneReport& report) {
   zones::wire::Report w;
-  w.set_home(report.home);
-  w.set_wanted(static_cast<float>(report.wanted));
-  w.set_far(static_cast<float>(report.far));
+  w.set_home(report.home_zone);
+  w.set_wanted(static_cast<float>(report.demand_per_second));
+  w.set_far(static_cast<float>(report.remote_only_demand_per_second));
   for (const auto& [zone, r] : report.zones) {
     auto* out = w.add_reading();
     out->set_zone(zone);
-    out->set_sent(static_cast<float>(r.sent));
-    out->set_returned(static_cast<float>(r.returned));
-    out->set_refused(static_cast<float>(r.refused));
-    out->set_lost(static_cast<float>(r.lost));
-    out->set_latency(static_cast<float>(r.latency));
-    out->set_capacity(static_cast<float>(r.capacity));
-    out->set_hosts(static_cast<std::uint32_t>(r.hosts));
-    out->set_down(static_cast<std::uint32_t>(r.down));
-    out->set_tried(static_cast<std::uint32_t>(r.tried));
-    out->set_load(static_cast<float>(r.load));
+    out->set_sent(static_cast<float>(r.attempts_per_second));
+    out->set_returned(static_cast<float>(r.responses_per_second));
+    out->set_refused(static_cast<float>(r.rejected_per_second));
+    out->set_lost(static_cast<float>(r.lost_per_second));
+    out->set_latency(static_cast<float>(r.mean_latency_seconds));
+    out->set_capacity(static_cast<float>(r.capacity_per_second));
+    out->set_hosts(static_cast<std::uint32_t>(r.endpoints_in_service));
+    out->set_down(static_cast<std::uint32_t>(r.endpoints_down));
+    out->set_tried(static_cast<std::uint32_t>(r.endpoints_tried));
+    out->set_load(static_cast<float>(r.load_per_second));
   }
   return w.SerializeAsString();
 }
 
-std::optional<Report> decode(std::string_view bytes) {
+std::optional<ZoneReport> decode(std::string_view bytes) {
   zones::wire::Report w;
   if (!w.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return std::nullopt;
   if (!name(w.home()) || !rate(w.wanted()) || !rate(w.far()) ||
-      w.reading_size() > static_cast<int>(kZonesMost))
+      w.reading_size() > static_cast<int>(kMaxZones))
     return std::nullopt;
-  Report out;
-  out.home = w.home(), out.wanted = w.wanted(), out.far = w.far();
+  ZoneReport out;
+  out.home_zone = w.home(), out.demand_per_second = w.wanted(), out.remote_only_demand_per_second = w.far();
   for (const auto& r : w.reading()) {
     if (!name(r.zone()) || r.hosts() > 100000 || r.tried() > 100000 || r.down() > r.tried())
       return std::nullopt;
--- a/src/zone_failover/zone_report.h
+++ b/src/zone_failover/zone_report.h
@@ -8,7 +8,7 @@
 
 namespace cairnhub::zone_failover {
 
-std::string encode(const Report& report);
-std::optional<Report> decode(std::string_view bytes);
+std::string encode(const ZoneReport& report);
+std::optional<ZoneReport> decode(std::string_view bytes);
 
 }  // namespace cairnhub::zone_failover
--- a/tests/cluster/zone_world.h
+++ b/tests/cluster/zone_world.h
@@ -38,9 +38,9 @@
       : chance_(static_cast<std::mt19937::result_type>(seed)), size_(size), policy_(policy) {
     const auto n = static_cast<std::size_t>(size.zones);
     for (int z = 0; z < size.zones; ++z) {
-      zone_failover::Zone zone;
+      zone_failover::ZoneOptions zone;
       zone.name = name(z), zone.region = "r" + std::to_string(z * size.regions / size.zones);
-      zone.host_capacity = kHost;
+      zone.endpoint_capacity_per_second = kHost;
       stated_.push_back(zone);
       hosts_.push_back(size.hosts / size.zones + (z < size.hosts % size.zones));
     }
@@ -55,9 +55,10 @@
     }
     for (std::size_t z = 0; z < n; ++z) seen_.push_back({});
     draw_faults();
-    zone_failover::Terms t;
-    t.home = name(0), t.zones = stated_, t.report_every = kSecond / 4, t.evidence.fresh = kSecond;
-    zones_ = std::make_unique<zone_failover::Zones>(t, "b0");
+    zone_failover::ZoneFailoverOptions t;
+    t.home_zone = name(0), t.zones = stated_, t.report_interval = kSecond / 4,
+    t.health.max_report_age = kSecond;
+    zones_ = std::make_unique<zone_failover::ZoneFailover>(t, "b0");
     shared_config::Entry ground;
     ground.kind = shared_config::Entry::Kind::propose_ground, ground.id = "g", ground.base = 1;
     ground.text = "zone_shares { otherwise: 30 }";
@@ -102,7 +103,7 @@
   struct Table {
     int at;
     shared_config::ZoneShares shares;
-    zone_failover::Note note;
+    zone_failover::FailoverDecision note;
   };
   static std::string name(int z) {
     return std::string(1, static_cast<char>('a' + z % 26)) + std::to_string(z);
@@ -253,20 +254,22 @@
     for (std::size_t i = 0; i < brokers_.size(); ++i) {
       const Broker& b = brokers_[i];
       if (true_[b.home].brokers_dead) continue;
-      zone_failover::Report r;
-      r.home = name(static_cast<int>(b.home)), r.wanted = of_broker(b);
+      zone_failover::ZoneReport r;
+      r.home_zone = name(static_cast<int>(b.home)), r.demand_per_second = of_broker(b);
       for (std::size_t z = 0; z < true_.size(); ++z) {
         const Heard& h = b.heard[z];
-        zone_failover::Reading& x = r.zones[name(static_cast<int>(z))];
-        x.sent = h.sent, x.lost = h.lost, x.refused = h.refused * h.sent,
-        x.returned = x.sent - x.lost - x.refused;
-        x.load = h.load, x.hosts = static_cast<int>(hosts_[z] * true_[z].worth);
-        x.tried = x.hosts, x.down = h.shunned ? x.hosts : 0;
-        x.latency = 0.004 * true_[z].slow, x.capacity = x.hosts * kHost;
+        zone_failover::ZoneStats& x = r.zones[name(static_cast<int>(z))];
+        x.attempts_per_second = h.sent, x.lost_per_second = h.lost,
+        x.rejected_per_second = h.refused * h.sent,
+        x.responses_per_second = x.attempts_per_second - x.lost_per_second - x.rejected_per_second;
+        x.load_per_second = h.load, x.endpoints_in_service = static_cast<int>(hosts_[z] * true_[z].worth);
+        x.endpoints_tried = x.endpoints_in_service, x.endpoints_down = h.shunned ? x.endpoints_in_service : 0;
+        x.mean_latency_seconds = 0.004 * true_[z].slow,
+        x.capacity_per_second = x.endpoints_in_service * kHost;
       }
-      zones_->heard(now, "b" + std::to_string(i), std::move(r));
+      zones_->add_report(now, "b" + std::to_string(i), std::move(r));
     }
-    if (auto e = zones_->lead(now, book_)) {
+    if (auto e = zones_->propose_change(now, book_)) {
       const auto v = book_.apply(*e);
       if (v.number) {
         shared_config::Entry force;
@@ -274,13 +277,14 @@
         book_.apply(force);
         ++run_.versions;
         const auto& made = *book_.at(v.number);
-        tables_.push_back({step_, made.rules->zones, zone_failover::parse_note(made.note)});
+        tables_.push_back({step_, made.rules->zones, zone_failover::parse_decision(made.note)});
         for (std::size_t z = 0; z < true_.size(); ++z) {
           const auto it = tables_.back().note.zones.find(name(static_cast<int>(z)));
           if (it == tables_.back().note.zones.end()) continue;
-          if (it->second.share < seen_[z].first && seen_[z].second) ++run_.turns;
-          if (it->second.share != seen_[z].first)
-            seen_[z] = {it->second.share, it->second.share > seen_[z].first};
+          if (it->second.local_share_thousandths < seen_[z].first && seen_[z].second) ++run_.turns;
+          if (it->second.local_share_thousandths != seen_[z].first)
+            seen_[z] = {it->second.local_share_thousandths,
+                        it->second.local_share_thousandths > seen_[z].first};
         }
       }
     }
@@ -294,14 +298,14 @@
       for (std::size_t z = 0; z < true_.size(); ++z)
         if (z != b.home) out += b.limit[z] = t->shares.of(home, name(static_cast<int>(z))) / 1000.0;
       const auto it = t->note.zones.find(home);
-      b.stay = it == t->note.zones.end() ? 1 : std::max(it->second.share / 1000.0, 1 - out);
+      b.stay = it == t->note.zones.end() ? 1 : std::max(it->second.local_share_thousandths / 1000.0, 1 - out);
     }
     while (tables_.size() > 40) tables_.pop_front();
   }
   // The same filling from the true state, one and a half seconds late.
   void tell() {
-    std::vector<zone_failover::Place> places;
-    zone_failover::Cut cut;
+    std::vector<zone_failover::ZoneTraffic> places;
+    zone_failover::BrokenLinks cut;
     for (const auto& [from, to] : cut_)
       cut.insert({name(static_cast<int>(from)), name(static_cast<int>(to))});
     std::vector<double> wanted(true_.size(), 0);
@@ -315,13 +319,13 @@
     if (late_.size() <= 15) return;
     const auto [then, gone] = late_.front();
     late_.pop_front();
-    const auto f = zone_failover::fill(then, gone, zone_failover::FillTerms{0.02, 10});
+    const auto f = zone_failover::split_traffic(then, gone, zone_failover::TrafficSplitOptions{0.02, 10});
     for (Broker& b : brokers_) {
       const std::string home = name(static_cast<int>(b.home));
       double out = 0;
       for (std::size_t z = 0; z < true_.size(); ++z)
         if (z != b.home) out += b.limit[z] = f.shares.of(home, name(static_cast<int>(z))) / 1000.0;
-      b.stay = std::max(then[b.home].share, 1 - out);
+      b.stay = std::max(then[b.home].local_share, 1 - out);
     }
   }
 
@@ -334,10 +338,10 @@
   std::vector<Broker> brokers_;
   std::vector<Fault> faults_;
   std::set<std::pair<std::size_t, std::size_t>> cut_;
-  std::unique_ptr<zone_failover::Zones> zones_;
+  std::unique_ptr<zone_failover::ZoneFailover> zones_;
   shared_config::Versions book_;
   std::deque<Table> tables_;
-  std::deque<std::pair<std::vector<zone_failover::Place>, zone_failover::Cut>> late_;
+  std::deque<std::pair<std::vector<zone_failover::ZoneTraffic>, zone_failover::BrokenLinks>> late_;
   std::vector<std::pair<int, bool>> seen_;
   int step_ = 0;
   ZoneRun run_;
--- a/tests/courses.cpp
+++ b/tests/courses.cpp
@@ -17,46 +17,53 @@
 
 namespace {
 
-CourseTerms terms(int broken) {
-  CourseTerms t;
-  t.confirm = 2, t.dwell = 3, t.dwell_most = 6, t.step = 1;
-  if (broken == 1) t.dwell = 1, t.dwell_most = 2;  // back as soon as it looks good
-  if (broken == 2) t.confirm = 4;                  // away too late
+FailoverOptions terms(int broken) {
+  FailoverOptions t;
+  t.confirmation_time = 2, t.min_dwell = 3, t.max_dwell = 6, t.step_interval = 1;
+  if (broken == 1) t.min_dwell = 1, t.max_dwell = 2;  // back as soon as it looks good
+  if (broken == 2) t.confirmation_time = 4;           // away too late
   return t;
 }
 constexpr int kDwell = 3, kConfirm = 2;
 
 struct Play {
   Time now = 1;
-  Course course{terms(0)};
+  FailoverStateMachine course{terms(0)};
   // The record beside it, in steps, each no further than it counts.
   int good_for = 0, dead_for = 0, evacuating_for = 0, fell_ago = 99;
   bool resumed = false;
   std::string key() const {
-    return course.describe(now) + '|' + std::to_string(good_for) + std::to_string(dead_for) +
+    return course.state_key(now) + '|' + std::to_string(good_for) + std::to_string(dead_for) +
            std::to_string(evacuating_for) + ' ' + std::to_string(fell_ago) + (resumed ? "r" : "");
   }
 };
 
 // What doesn't hold after `look` and `ordered` led from one state to the next; empty where all does.
-std::string wrong(const Play& was, const Play& is, Look look, Ordered ordered, bool in_force) {
-  const int before = was.course.share(), after = is.course.share();
+std::string wrong(const Play& was, const Play& is, ZoneStatus look, OperatorOrder ordered, bool in_force) {
+  const int before = was.course.local_share_thousandths(), after = is.course.local_share_thousandths();
   const auto from = was.course.state(), to = is.course.state();
-  if (ordered == Ordered::hold && (before != after || from != to)) return "something moved while it was held";
-  if (ordered == Ordered::evacuate && after > before) return "more stayed while it was being evacuated";
-  if (is.evacuating_for > 6 && (to != State::away || after != 0)) return "it was not evacuated in time";
-  if (is.dead_for > kConfirm && ordered == Ordered::none && (to != State::away || after > 10))
+  if (ordered == OperatorOrder::kHold && (before != after || from != to))
+    return "something moved while it was held";
+  if (ordered == OperatorOrder::kEvacuate && after > before)
+    return "more stayed while it was being evacuated";
+  if (is.evacuating_for > 6 && (to != FailoverState::kFailedOver || after != 0))
+    return "it was not evacuated in time";
+  if (is.dead_for > kConfirm && ordered == OperatorOrder::kNone &&
+      (to != FailoverState::kFailedOver || after > 10))
     return "a dead zone was not left in time";
   // Back only after it was good for a dwell; the little that is asked of a dead zone is no return.
-  const bool first_step = from != State::returning && to == State::returning;
-  if (first_step && from != State::evacuating && is.good_for < kDwell) return "it came back too soon";
-  if (first_step && from != State::evacuating && was.fell_ago < kDwell) return "it came back within a dwell";
-  if (after > before && look != Look::good && from != State::evacuating && after > 10)
+  const bool first_step = from != FailoverState::kReturning && to == FailoverState::kReturning;
+  if (first_step && from != FailoverState::kEvacuating && is.good_for < kDwell)
+    return "it came back too soon";
+  if (first_step && from != FailoverState::kEvacuating && was.fell_ago < kDwell)
+    return "it came back within a dwell";
+  if (after > before && look != ZoneStatus::kGood && from != FailoverState::kEvacuating && after > 10)
     return "more stayed though it looked bad";
-  if (from == State::returning && !in_force && (after > before || to == State::near))
+  if (from == FailoverState::kReturning && !in_force && (after > before || to == FailoverState::kLocal))
     return "a step back was taken before all brokers acted on the last one";
-  if (to != State::near && is.course.takes_in()) return "others were let in while it was not well";
-  if (to == State::near && after != 1000) return "near, and not all stays";
+  if (to != FailoverState::kLocal && is.course.accepts_remote_traffic())
+    return "others were let in while it was not well";
+  if (to == FailoverState::kLocal && after != 1000) return "near, and not all stays";
   return "";
 }
 
@@ -65,7 +72,7 @@
 int main(int argc, char** argv) {
   const int broken = argc > 2 && std::string(argv[1]) == "break" ? std::atoi(argv[2]) : 0;
   Play first;
-  first.course = Course(terms(broken));
+  first.course = FailoverStateMachine(terms(broken));
   std::unordered_set<std::string> seen{first.key()};
   std::vector<Play> todo{first};
   std::uint64_t ways = 0;
@@ -73,7 +80,7 @@
   while (!todo.empty()) {
     const Play s = std::move(todo.back());
     todo.pop_back();
-    const auto take = [&](Play n, Look look, Ordered ordered, bool in_force) {
+    const auto take = [&](Play n, ZoneStatus look, OperatorOrder ordered, bool in_force) {
       ++ways;
       if (const std::string what = wrong(s, n, look, ordered, in_force); !what.empty()) {
         std::printf(broken ? "with a defence out: %s\n" : "BROKEN: %s: %s\n", what.c_str(), n.key().c_str());
@@ -81,30 +88,35 @@
       }
       if (seen.insert(n.key()).second) todo.push_back(std::move(n));
     };
-    for (const Look look : {Look::good, Look::over, Look::partial, Look::dead, Look::unknown})
-      for (const Ordered ordered : {Ordered::none, Ordered::evacuate, Ordered::hold})
+    for (const ZoneStatus look : {ZoneStatus::kGood, ZoneStatus::kOverloaded, ZoneStatus::kPartial,
+                                  ZoneStatus::kDead, ZoneStatus::kUnknown})
+      for (const OperatorOrder ordered :
+           {OperatorOrder::kNone, OperatorOrder::kEvacuate, OperatorOrder::kHold})
         for (const auto& [bears, in_force] :
              {std::pair(0.8, true), std::pair(0.8, false), std::pair(0.4, true), std::pair(0.4, false)}) {
-          if (bears < 0.8 && look != Look::over && look != Look::partial) continue;
+          if (bears < 0.8 && look != ZoneStatus::kOverloaded && look != ZoneStatus::kPartial) continue;
           Play n = s;
           ++n.now;
           n.resumed = false;
-          n.course.tell(n.now, look, bears, ordered, in_force || broken == 3);
+          n.course.update(n.now, look, bears, ordered, in_force || broken == 3);
           // What nobody asked of tells neither way: the time goes on from the first good look.
-          const bool counts = look == Look::good || (look == Look::unknown && n.good_for > 0);
+          const bool counts = look == ZoneStatus::kGood || (look == ZoneStatus::kUnknown && n.good_for > 0);
           n.good_for = counts ? std::min(kDwell, n.good_for + 1) : 0;
-          n.dead_for =
-              look == Look::dead && ordered == Ordered::none ? std::min(kConfirm + 1, n.dead_for + 1) : 0;
-          n.evacuating_for = ordered == Ordered::evacuate ? std::min(7, n.evacuating_for + 1) : 0;
-          n.fell_ago = n.course.share() < s.course.share() ? 0 : std::min(kDwell, n.fell_ago + 1);
+          n.dead_for = look == ZoneStatus::kDead && ordered == OperatorOrder::kNone
+                           ? std::min(kConfirm + 1, n.dead_for + 1)
+                           : 0;
+          n.evacuating_for = ordered == OperatorOrder::kEvacuate ? std::min(7, n.evacuating_for + 1) : 0;
+          n.fell_ago = n.course.local_share_thousandths() < s.course.local_share_thousandths()
+                           ? 0
+                           : std::min(kDwell, n.fell_ago + 1);
           take(n, look, ordered, in_force);
         }
     if (!s.resumed) {  // another leads, and knows the state and the share only
       Play n = s;
-      n.course = Course(terms(broken));
-      n.course.resume(n.now, s.course.state(), s.course.share());
+      n.course = FailoverStateMachine(terms(broken));
+      n.course.resume(n.now, s.course.state(), s.course.local_share_thousandths());
       n.good_for = n.dead_for = n.evacuating_for = 0, n.resumed = true;
-      take(n, Look::good, Ordered::hold, true);
+      take(n, ZoneStatus::kGood, OperatorOrder::kHold, true);
     }
   }
   if (broken) return std::printf("with a defence out: NOTHING found\n"), 1;
