--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -56,16 +56,18 @@
   void list_ends() override;
   void list_reset() override;
   const std::vector<ZoneLimit>& zones() const override { return zone_limits_; }
-  int zone_step() const override { return zones_ ? zones_->terms().near_step : 0; }
-  double exploration_share() const override { return zones_ ? zones_->terms().look_around : 0; }
-  int zone_of(const std::string& locality) const override { return zones_ ? zones_->number_of(locality) : 0; }
+  int zone_step() const override { return zones_ ? zones_->options().local_queue_advantage : 0; }
+  double exploration_share() const override { return zones_ ? zones_->options().exploration_share : 0; }
+  int zone_of(const std::string& locality) const override {
+    return zones_ ? zones_->zone_number(locality) : 0;
+  }
   bool stays_in_region(int op_type) const override;
   bool record_attempt(int zone, int op_type) override;
   void record_attempt_end(const dispatch::TrafficAccount& whose, EndpointId node, AttemptOutcome how,
                           Time latency) override;
   void record_bytes(const dispatch::TransferredBytes& what) override;
   void record_request(int op_type, const dispatch::Request& query) override;
-  bool has_byte_budgets() const override { return crossing_ && crossing_->any(); }
+  bool has_byte_budgets() const override { return crossing_ && crossing_->has_limits(); }
   bool stays_in_zone(int op_type) override;
 
   // For the operators' address.
@@ -75,9 +77,9 @@
   const transport::Transport& transport() const { return transport_; }
   shared_config::Accord* accord() { return accord_.get(); }
   const Works* works() const { return works_.get(); }
-  const zone_failover::Zones* zone_part() const { return zones_.get(); }
+  const zone_failover::ZoneFailover* zone_part() const { return zones_.get(); }
   const shared_config::Versions* alone() const { return alone_.get(); }  // where it decides of zones alone
-  const zone_failover::Crossing* crossing() const { return crossing_.get(); }
+  const zone_failover::CrossZoneBudget* crossing() const { return crossing_.get(); }
   const std::vector<std::string>& op_types() const { return op_types_; }
   void propose(shared_config::Entry entry, shared_config::Accord::Done done);
 
@@ -93,7 +95,7 @@
   void keep_ground();
   void note_lease();
   void look_behind();
-  std::optional<zone_failover::Report> look_at_zones(Time at);
+  std::optional<zone_failover::ZoneReport> look_at_zones(Time at);
   void turn_zones();
   void turn_alone();
   void take_zones();
@@ -113,10 +115,10 @@
   Program program_;
   std::shared_ptr<const shared_config::Acting> applied_;
   std::vector<dispatch::RequestClassLimits> limits_;
-  std::unique_ptr<zone_failover::Zones> zones_;
+  std::unique_ptr<zone_failover::ZoneFailover> zones_;
   std::unique_ptr<Works> works_;
   std::unique_ptr<shared_config::Versions> alone_;  // of zones, where there is no accord: a book of its own
-  std::unique_ptr<zone_failover::Crossing> crossing_;
+  std::unique_ptr<zone_failover::CrossZoneBudget> crossing_;
   std::vector<double> crossing_stated_;  // bytes a second, by op type
   std::vector<ZoneLimit> zone_limits_;
   std::vector<bool> stays_in_region_;  // by op type
