--- a/src/dispatch/request_dispatcher.cpp
+++ b/src/dispatch/request_dispatcher.cpp
@@ -192,7 +192,7 @@
   auto e = std::make_unique<Attempt>();
   e->part = p, e->node = d.endpoint, e->index = static_cast<int>(p->attempts.size());
   e->sent_at = now(), e->until = e->sent_at + d.duration;
-  if (d.begin_within != kNever) e->begin_by = e->sent_at + d.begin_within;
+  if (d.max_start_delay != kNever) e->begin_by = e->sent_at + d.max_start_delay;
   p->attempts.push_back(std::move(e));
   if (common_) with_.sent(*p->attempts.back());
   hosts_.send(*p->attempts.back(), d.endpoint);
--- a/src/dispatch/two_phase_runner.cpp
+++ b/src/dispatch/two_phase_runner.cpp
@@ -98,7 +98,7 @@
   };
   mine.match = add(derived);
   // Of one block each; whatever comes of them is taken, and the plan judges the whole.
-  derived.required_share = derived.min_answer_share = 1;
+  derived.required_share = derived.min_response_share = 1;
   mine.again = add(derived);
   mine.fetch = add(derived);
   limit(op_type, route_.limits(op_type));
--- a/src/options/options.cpp
+++ b/src/options/options.cpp
@@ -350,8 +350,8 @@
       complain("is '" + p.name + "', which is not retriable; allowed is an op type that may be asked again");
     Phased& mine = out.emplace_back(Phased{static_cast<int>(i), op, p.terms});
     two_phase::Terms& t = mine.terms;
-    t.need = op.required_share, t.least = op.min_answer_share;
-    t.partial = op.min_answer_share < op.required_share && op.partial_value_share > 0;
+    t.need = op.required_share, t.least = op.min_response_share;
+    t.partial = op.min_response_share < op.required_share && op.partial_value_share > 0;
     t.latency_budget = op.latency_objective, t.late_earns = op.late_value_share > 0;
     t.come_back = longest_wait;
   }
--- a/src/policy/attempt_guard.cpp
+++ b/src/policy/attempt_guard.cpp
@@ -17,7 +17,7 @@
   if (!may_hedge_ && shard_request.attempts_in_flight()) return false;
   const bool is_at_most_once = request.request_class->idempotency == Idempotency::kAtMostOnce;
   if (is_at_most_once && !shard_request.has_never_run()) return false;
-  return may_begin_within(shard_request, now) >= 0;
+  return max_start_delay(shard_request, now) >= 0;
 }
 
 bool AttemptGuard::may_send(const ShardRequest& shard_request, Endpoint& endpoint, Time now) {
@@ -26,7 +26,7 @@
          (shard_request.attempts.empty() || retries_.allows(now));
 }
 
-Time AttemptGuard::may_begin_within(const ShardRequest& shard_request, Time now) const {
+Time AttemptGuard::max_start_delay(const ShardRequest& shard_request, Time now) const {
   const RequestClass& request_class = *shard_request.request->request_class;
   Time left = kNever;
   if (request_class.idempotency != Idempotency::kDeduplicated) return left;
--- a/src/policy/attempt_guard.h
+++ b/src/policy/attempt_guard.h
@@ -27,7 +27,7 @@
   bool may_send(const ShardRequest& shard_request, Endpoint& endpoint, Time now);
   // How much later than now an attempt may begin: what is left of the deduplication window, counted from the
   // first attempt that may have run. kNever: no such limit; below 0: not at all.
-  Time may_begin_within(const ShardRequest& shard_request, Time now) const;
+  Time max_start_delay(const ShardRequest& shard_request, Time now) const;
 
  private:
   const SlowStartLimiter& slow_start_;
--- a/src/policy/attempt_sender.cpp
+++ b/src/policy/attempt_sender.cpp
@@ -20,7 +20,7 @@
     locality_.record_demand(1);
   }
   if (is_hedge) retries_.spend_hedge();
-  const Time begin_within = guard_.may_begin_within(shard_request, now);
+  const Time max_start_delay = guard_.max_start_delay(shard_request, now);
   const Request& request = *shard_request.request;
   if (endpoint.is_ejected) outliers_.record_probe(endpoint, *request.request_class, now);
   slow_start_.record_attempt(endpoint, now);
@@ -32,7 +32,7 @@
           .request = shard_request.id,
           .endpoint = endpoint.id,
           .duration = deadlines_.useful_until(request) - now,
-          .begin_within = begin_within};
+          .max_start_delay = max_start_delay};
 }
 
 }  // namespace cairnhub
--- a/src/policy/completion.cpp
+++ b/src/policy/completion.cpp
@@ -33,9 +33,9 @@
   if (now < deadlines_.useful_until(request) && may_become_complete) return std::nullopt;
   const RequestClass& request_class = *request.request_class;
   const bool may_be_partial =
-      request_class.min_answer_share < request_class.required_share - kWeightTolerance &&
+      request_class.min_response_share < request_class.required_share - kWeightTolerance &&
       request_class.partial_value_share > 0;
-  if (has_response && may_be_partial && received >= request_class.min_answer_share) {
+  if (has_response && may_be_partial && received >= request_class.min_response_share) {
     return respond(request, false, now);
   }
   return give_up(request);
--- a/src/policy/locality_router.h
+++ b/src/policy/locality_router.h
@@ -19,7 +19,7 @@
 
 class LocalityRouter {
  public:
-  // See RequestPolicy::limit_zones.
+  // See RequestPolicy::set_zone_limits.
   void configure(std::vector<ZoneLimit> zones, int step, double exploration_share);
   bool is_enabled() const { return !zones_.empty(); }
 
--- a/src/policy/policy_action.h
+++ b/src/policy/policy_action.h
@@ -10,7 +10,7 @@
 
 struct PolicyAction {
   enum class Kind {
-    kSendAttempt,     // request (a shard request), endpoint, duration (its timeout), begin_within
+    kSendAttempt,     // request (a shard request), endpoint, duration (its timeout), max_start_delay
     kCancelAttempt,   // request (a shard request), attempt_index
     kRespond,         // request, is_complete
     kReject,          // request, duration (Retry-After; 0 = no advice)
@@ -29,7 +29,7 @@
   std::uint64_t token = 0;
   // How much later than now an attempt that waits for its connection may begin: what makes it safe to repeat
   // ends then.
-  Time begin_within = kNever;
+  Time max_start_delay = kNever;
 };
 
 }  // namespace cairnhub
--- a/src/policy/request_class.h
+++ b/src/policy/request_class.h
@@ -18,16 +18,16 @@
   double importance = 1;
   double late_value_share = 0;     // what a response past the latency objective still earns
   double required_share = 1;       // share of weight that makes a complete response
-  double min_answer_share = 1;     // share of weight under which no response may be given
+  double min_response_share = 1;   // share of weight under which no response may be given
   double partial_value_share = 0;  // what a partial response earns, times share / required_share
   int second_step_shard_requests = 0;
   bool stays_in_region = false;
   bool stays_in_zone =
       false;  // for the moment, except for shards that have lost all replicas in the own zone
 
-  // As configured; latency_objective and min_answer_share may be tightened for a while.
+  // As configured; latency_objective and min_response_share may be tightened for a while.
   Time configured_latency_objective = 0;
-  double configured_min_answer_share = 1;
+  double configured_min_response_share = 1;
 
   // Measured: smoothed latency of a shard request and its mean deviation.
   Time smoothed_latency = 0;
--- a/src/policy/request_policy.cpp
+++ b/src/policy/request_policy.cpp
@@ -70,7 +70,7 @@
   added.smoothed_latency = added.latency_objective / kInitialLatencyDivisor;
   added.latency_deviation = added.smoothed_latency / kInitialDeviationDivisor;
   added.configured_latency_objective = added.latency_objective;
-  added.configured_min_answer_share = added.min_answer_share;
+  added.configured_min_response_share = added.min_response_share;
   modules_->latencies.set_objectives(modules_->classes);
   modules_->longest_timeout = std::max(modules_->longest_timeout, added.request_timeout);
   modules_->slow_start.record_smoothed_latency(added.smoothed_latency);
@@ -112,18 +112,18 @@
 // ---- Limits that may change at any time ----
 
 void RequestPolicy::limit_request_class(int request_class, Time max_latency_objective,
-                                        double min_answer_share) {
+                                        double min_response_share) {
   RequestClass& limited = modules_->request_class(request_class);
   const Time objective = std::min(limited.configured_latency_objective, max_latency_objective);
-  const double min_share = std::max(limited.configured_min_answer_share, min_answer_share);
-  if (objective == limited.latency_objective && min_share == limited.min_answer_share) return;
+  const double min_share = std::max(limited.configured_min_response_share, min_response_share);
+  if (objective == limited.latency_objective && min_share == limited.min_response_share) return;
   limited.latency_objective = objective;
-  limited.min_answer_share = min_share;
+  limited.min_response_share = min_share;
   modules_->latencies.set_objectives(modules_->classes);
   modules_->requests.schedule_review_of_all();  // they have asked to be woken by the older objective's end
 }
 
-void RequestPolicy::limit_zones(std::vector<ZoneLimit> zones, int step, double exploration_share) {
+void RequestPolicy::set_zone_limits(std::vector<ZoneLimit> zones, int step, double exploration_share) {
   modules_->locality.configure(std::move(zones), step, exploration_share);
 }
 
--- a/src/policy/request_policy.h
+++ b/src/policy/request_policy.h
@@ -84,11 +84,11 @@
 
   // Tightens a class, requests in flight included: its latency objective to at most, and its share of weight
   // under which no response may be given to at least, these. kNever and 0: as configured.
-  void limit_request_class(int request_class, Time max_latency_objective, double min_answer_share);
+  void limit_request_class(int request_class, Time max_latency_objective, double min_response_share);
   // Zones by number, this broker's own the first; none: locality counts for nothing. A replica elsewhere
   // counts as if `step` more batches were in flight to it; the share `exploration_share` of the shard
   // requests prefers a zone drawn at random.
-  void limit_zones(std::vector<ZoneLimit> zones, int step, double exploration_share);
+  void set_zone_limits(std::vector<ZoneLimit> zones, int step, double exploration_share);
   void keep_in_region(int request_class, bool stays);
   // Nothing of the class goes to another zone but for shards that have lost all replicas in the own one.
   void keep_in_zone(int request_class, bool stays);
--- a/src/server/broker.cpp
+++ b/src/server/broker.cpp
@@ -137,7 +137,7 @@
                       phased.limit(i, l);
                     }
                     keep_in_regions();
-                    policy.limit_zones(common->zones(), common->zone_step(), common->look_around());
+                    policy.set_zone_limits(common->zones(), common->zone_step(), common->look_around());
                     members.reconsider();
                   },
                   [this] { keep_near(); },
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -139,7 +139,7 @@
   op.importance = s.number(at + "value", 1);
   op.late_value_share = s.number(at + "late-share", 0);
   op.required_share = s.item("family-info.need-by-class", i, 1);
-  op.min_answer_share = s.item("family-info.min-share", i, op.required_share);
+  op.min_response_share = s.item("family-info.min-share", i, op.required_share);
   op.partial_value_share = s.item("family-info.class-partial", i, 0);
   op.second_step_shard_requests = static_cast<int>(s.item("family-info.class-fetch", i, 0));
   return op;
--- a/tests/policy_replay.cpp
+++ b/tests/policy_replay.cpp
@@ -195,7 +195,7 @@
     zones_ = draws_.one_in(2) ? 1 : draws_.between(2, 3);
     if (draws_.one_in(2)) {
       has_zone_limits_ = true;
-      limit_zones();
+      set_zone_limits();
     }
   }
 
@@ -231,9 +231,9 @@
     if (draws_.one_in(2)) {
       drawn.required_share = draws_.between(4, 9) / 10.0;
     }
-    drawn.min_answer_share = drawn.required_share;
+    drawn.min_response_share = drawn.required_share;
     if (draws_.one_in(2)) {
-      drawn.min_answer_share = drawn.required_share * draws_.between(2, 9) / 10.0;
+      drawn.min_response_share = drawn.required_share * draws_.between(2, 9) / 10.0;
       drawn.partial_value_share = draws_.between(1, 9) / 10.0;
     }
     if (draws_.one_in(3)) {
@@ -243,7 +243,7 @@
     return drawn;
   }
 
-  void limit_zones() {
+  void set_zone_limits() {
     std::vector<ZoneLimit> limits;
     if (!draws_.one_in(8)) {  // else nearness counts for nothing
       for (int zone = 0; zone < zones_; ++zone) {
@@ -255,7 +255,7 @@
     }
     const int step = draws_.between(1, 4);
     const double look_around = draws_.below(20) / 100.0;
-    policy_.limit_zones(std::move(limits), step, look_around);
+    policy_.set_zone_limits(std::move(limits), step, look_around);
   }
 
   // ---- Time and events ----
@@ -428,7 +428,7 @@
       }
     }
     counts_["  of sends: retries and hedged"] += index > 0;
-    counts_["  of sends: to begin within a time"] += decision.begin_within != kNever;
+    counts_["  of sends: to begin within a time"] += decision.max_start_delay != kNever;
     attempts.push_back({now_, false});
     const AttemptEnd end = drawn_end(decision);
     schedule(end.delay, EventKind::attempt_ends, decision.request, index, end.outcome);
@@ -437,8 +437,8 @@
   AttemptEnd drawn_end(const PolicyAction& decision) {
     const Time timeout = std::max<Time>(decision.duration, 0);
     const Time connect_wait = draws_.one_in(16) ? draws_.milliseconds(1, 60) : 0;
-    if (connect_wait > decision.begin_within) {
-      return {AttemptOutcome::kNotSent, std::max<Time>(decision.begin_within, 0)};
+    if (connect_wait > decision.max_start_delay) {
+      return {AttemptOutcome::kNotSent, std::max<Time>(decision.max_start_delay, 0)};
     }
     const auto found = endpoints_.find(decision.endpoint);
     if (found == endpoints_.end()) {
@@ -711,7 +711,7 @@
     const int change = draws_.below(3);
     const bool stays = draws_.one_in(2);
     if (change == 0) {
-      limit_zones();
+      set_zone_limits();
     } else if (change == 1) {
       policy_.keep_in_region(request_class, stays);
     } else {
@@ -768,7 +768,7 @@
                                                 decision.is_complete,
                                                 static_cast<std::uint64_t>(decision.duration),
                                                 decision.token,
-                                                static_cast<std::uint64_t>(decision.begin_within)};
+                                                static_cast<std::uint64_t>(decision.max_start_delay)};
     XXH3_64bits_update(hash_state_.get(), words.data(), sizeof words);
   }
 
--- a/tests/scenario.h
+++ b/tests/scenario.h
@@ -35,7 +35,7 @@
   static RequestClass op(double need = 1, Idempotency idempotency = Idempotency::kIdempotent) {
     RequestClass t;
     t.latency_objective = kSecond, t.request_timeout = 3 * kSecond, t.deduplication_window = 500 * kMs;
-    t.late_value_share = 0.5, t.required_share = t.min_answer_share = need, t.idempotency = idempotency;
+    t.late_value_share = 0.5, t.required_share = t.min_response_share = need, t.idempotency = idempotency;
     return t;
   }
   // Ready nodes 1..count in cells 0.., long started.
--- a/tests/slow_start.cpp
+++ b/tests/slow_start.cpp
@@ -125,7 +125,7 @@
     d.set_brokers(static_cast<int>(brokers.size()));
     RequestClass op;
     op.latency_objective = 1500 * kMs, op.request_timeout = 4 * kSecond, op.late_value_share = 0.3;
-    op.required_share = op.min_answer_share = 0.67;
+    op.required_share = op.min_response_share = 0.67;
     d.add_request_class(op);
     d.set_layout(kServers, kReplicas, 1);
     d.set_attempts(3, true, true);
--- a/tests/traces.cpp
+++ b/tests/traces.cpp
@@ -149,7 +149,7 @@
 void zones_shut() {  // the near holder is dead, the one elsewhere shut for now: neither part goes out for
                      // nothing
   Story s(Story::op(), 2, 2);
-  s.d.limit_zones({{1.0}, {0.03}}, 2, 0);
+  s.d.set_zone_limits({{1.0}, {0.03}}, 2, 0);
   s.d.start();
   s.d.list_begins(s.now, true);
   for (EndpointId id : {1, 2})
@@ -192,7 +192,7 @@
 
 void in_part() {  // rule 5: least half, need all: time up with one of two in, then with none
   RequestClass op = Story::op();
-  op.min_answer_share = 0.5, op.partial_value_share = 0.9;
+  op.min_response_share = 0.5, op.partial_value_share = 0.9;
   Story s(op, 2, 1);
   s.nodes(2);
   s.ask(1, {0, 1}, 900 * kMs);
