--- a/src/policy/admission_controller.h
+++ b/src/policy/admission_controller.h
@@ -1,11 +1,11 @@
-// Rejects on arrival what can't be responded to in time.
+// Rejects requests on arrival that cannot be answered in time.
 //
-// Decides: whether a request is admitted, and when a rejected client should come back.
+// Decides: whether a request is admitted and, if it is rejected, when the client should retry.
 //
-// Inputs: the expected latency of each of its shard requests (seconds), what is left of its latency
-// objective, how many of those admitted came back late.
+// Inputs: the expected latency of each shard request (seconds), the time left for the request's latency
+// objective, and whether earlier admitted requests ended in time.
 //
-// Why: under overload queues would grow until every response is late.
+// Why: under overload, queues would otherwise grow until every response is late.
 #pragma once
 #include <optional>
 
@@ -21,19 +21,21 @@
   AdmissionController(ReplicaSelection& replicas, const LatencyEstimator& latencies,
                       const DeadlinePolicy& deadlines, LocalityRouter& locality, ShardRequestDraw& draw);
 
-  // Admits the request and selects its shard requests: nothing is returned. Or rejects it: the value is the
-  // Retry-After in nanoseconds, by which the estimate passes two thirds of the limit.
+  // Admits the request and selects its shard requests, or rejects it.
+  // @return nothing if the request is admitted; otherwise the Retry-After in nanoseconds, which is the amount
+  // by which the estimated latency exceeds two thirds of the longest latency that is admitted
   std::optional<Time> admit(Request& request, Time now);
 
-  // How an admitted request ended. Those that ended without a response in time, abandoned ones included,
-  // lower the share of the objective that an estimate may take, as estimates are too low just where queues
-  // grow; those in time raise it again, and so do rejections: else one that rejects everything would never
-  // recover.
+  // Report how an admitted request ended. A request without a response in time, including an abandoned one,
+  // lowers the share of the remaining time that an estimated latency may take, because estimates are too low
+  // where queues grow. A response in time raises the share again. So does a rejection: a controller that
+  // rejects every request would otherwise never recover.
   void record_late();
   void record_in_time();
 
  private:
-  // Expected latency of the slowest shard request that the request can't do without.
+  // Returns the expected latency (seconds) at which the required weight has arrived, if all shard requests
+  // are sent now.
   double estimate_latency_s(Request& request, Time now);
 
   ReplicaSelection& replicas_;
--- a/src/policy/attempt_canceller.h
+++ b/src/policy/attempt_canceller.h
@@ -1,9 +1,11 @@
-// Cancels attempts that are needed no longer.
+// Cancels attempts that are no longer needed.
 //
-// Decides: which attempts are cancelled: all in flight of a shard request that has its response or whose
-// request has ended, where the settings allow it.
+// Decides: which attempts are cancelled. If the settings allow cancellation, these are all attempts in
+// flight of a shard request that has its response or whose request has ended.
 //
-// Why: servers would work for responses that nobody reads.
+// Inputs: the setting, and the attempts of one shard request.
+//
+// Why: servers would otherwise work for responses that nobody reads.
 #pragma once
 #include <deque>
 #include <utility>
@@ -17,6 +19,7 @@
  public:
   void configure(bool may_cancel) { may_cancel_ = may_cancel; }
 
+  // Queues a cancellation for each attempt of the shard request that is in flight and not yet cancelled.
   void cancel_attempts(ShardRequest& shard_request) {
     if (!may_cancel_) return;
     for (auto& attempt : shard_request.attempts) {
@@ -27,6 +30,7 @@
     }
   }
   bool has_pending() const { return !pending_.empty(); }
+  // Only while has_pending().
   PolicyAction take_first() {
     const PolicyAction first = pending_.front();
     pending_.pop_front();
--- a/src/policy/attempt_guard.cpp
+++ b/src/policy/attempt_guard.cpp
@@ -28,13 +28,13 @@
 
 Time AttemptGuard::max_start_delay(const ShardRequest& shard_request, Time now) const {
   const RequestClass& request_class = *shard_request.request->request_class;
-  Time left = kNever;
-  if (request_class.idempotency != Idempotency::kDeduplicated) return left;
+  Time window_left = kNever;
+  if (request_class.idempotency != Idempotency::kDeduplicated) return window_left;
   for (const auto& attempt : shard_request.attempts) {
     if (!attempt->may_have_run()) continue;
-    left = std::min(left, attempt->sent_at + request_class.deduplication_window - now);
+    window_left = std::min(window_left, attempt->sent_at + request_class.deduplication_window - now);
   }
-  return left;
+  return window_left;
 }
 
 }  // namespace cairnhub
--- a/src/policy/attempt_guard.h
+++ b/src/policy/attempt_guard.h
@@ -1,13 +1,14 @@
-// Every rule that forbids an attempt.
+// Checks every rule that can forbid an attempt.
 //
-// Decides: whether a shard request may be sent at all, to a given endpoint, and how late the attempt may
-// begin.
+// Decides: whether a shard request may be sent at all, whether it may be sent to a given endpoint, and how
+// late an attempt may start.
 //
-// Inputs: deadlines, earlier attempts and their outcomes, the class's idempotency, the endpoint list, and
-// the limits on slow starts, zones and retries. Nothing is sent without asking here.
+// Inputs: deadlines (nanoseconds), earlier attempts and their outcomes, the idempotency of the class, the
+// endpoint's readiness, and the limits for slow start, zones and retries. Every attempt is checked here
+// before it is sent.
 //
-// Why: repeating work that may have run corrupts data; sending to a draining or starting server, or past
-// the budgets, takes servers down.
+// Why: repeating work that may have run corrupts data, and sending to a draining or starting server, or
+// beyond the budgets, can overload servers.
 #pragma once
 #include "policy/locality_router.h"
 #include "policy/request.h"
@@ -22,11 +23,13 @@
       : slow_start_(slow_start), locality_(locality), retries_(retries) {}
   void configure(int max_attempts, bool may_hedge);
 
-  // To whatever endpoint.
+  // Whether the shard request may be sent at all, by the rules that do not depend on the endpoint.
   bool may_send(const ShardRequest& shard_request, Time now) const;
+  // Whether the shard request may be sent to this endpoint now.
   bool may_send(const ShardRequest& shard_request, Endpoint& endpoint, Time now);
-  // How much later than now an attempt may begin: what is left of the deduplication window, counted from the
-  // first attempt that may have run. kNever: no such limit; below 0: not at all.
+  // Returns how long after `now` (nanoseconds) an attempt may still start: the remainder of the deduplication
+  // window, which begins with the first attempt that may have run. kNever means no limit; a negative value
+  // means that no attempt may start.
   Time max_start_delay(const ShardRequest& shard_request, Time now) const;
 
  private:
--- a/src/policy/attempt_results.cpp
+++ b/src/policy/attempt_results.cpp
@@ -62,10 +62,10 @@
   const bool is_full = outcome == AttemptOutcome::kQueueFull;
   const bool is_silent = outcome == AttemptOutcome::kTimedOut &&
                          endpoint.last_response_at <= attempt.sent_at && !attempt.is_stalled;
-  const bool is_grave = is_broken || is_full || is_silent;
-  if (!is_grave && outcome != AttemptOutcome::kError) return;
+  const bool is_severe = is_broken || is_full || is_silent;
+  if (!is_severe && outcome != AttemptOutcome::kError) return;
   const RequestClass& request_class = *attempt.shard_request->request->request_class;
-  outliers_.record_failure(endpoint, is_grave, request_class, now);
+  outliers_.record_failure(endpoint, is_severe, request_class, now);
 }
 
 }  // namespace cairnhub
--- a/src/policy/attempt_results.h
+++ b/src/policy/attempt_results.h
@@ -1,11 +1,11 @@
-// Takes in how an attempt ended.
+// Records how an attempt ended.
 //
-// Decides: nothing; tells each module that measures attempts, and closes what has its response or may not
-// be sent again.
+// Decides: nothing. It updates every module that measures attempts, and marks the shard request as answered
+// or as closed to further attempts.
 //
-// Inputs: outcome and latency (nanoseconds) of one attempt, once.
+// Inputs: the outcome and the latency (nanoseconds) of an attempt, once for each attempt.
 //
-// Why: an attempt counted twice, or not at all, would leave its endpoint looking busy or idle for good.
+// Why: an attempt counted twice or never would make its endpoint look busy or idle for good.
 #pragma once
 #include "policy/attempt_canceller.h"
 #include "policy/endpoint_table.h"
@@ -27,7 +27,8 @@
         slow_start_(slow_start),
         canceller_(canceller) {}
 
-  // See RequestPolicy::attempt_ended. Unknown attempts, and ones that have ended, are ignored.
+  // See RequestPolicy::attempt_ended. Results of unknown attempts, and of attempts that have already ended,
+  // are ignored.
   void record(Time now, RequestId shard_request, int attempt_index, AttemptOutcome outcome, Time latency,
               bool is_final, const LoadReport& load_report);
 
--- a/src/policy/attempt_sender.cpp
+++ b/src/policy/attempt_sender.cpp
@@ -5,7 +5,7 @@
 
 namespace cairnhub {
 
-PolicyAction AttemptSender::send(ShardRequest& shard_request, Endpoint& endpoint, Time now, bool is_hedge) {
+PolicyAction AttemptSender::send(ShardRequest& shard_request, Endpoint& endpoint, Time now, bool is_extra) {
   auto attempt = std::make_unique<Attempt>();
   attempt->shard_request = &shard_request;
   attempt->endpoint = &endpoint;
@@ -19,7 +19,7 @@
     retries_.record_further_attempt(now);
     locality_.record_demand(1);
   }
-  if (is_hedge) retries_.spend_hedge();
+  if (is_extra) retries_.spend_extra_attempt_token();
   const Time max_start_delay = guard_.max_start_delay(shard_request, now);
   const Request& request = *shard_request.request;
   if (endpoint.is_ejected) outliers_.record_probe(endpoint, *request.request_class, now);
--- a/src/policy/attempt_sender.h
+++ b/src/policy/attempt_sender.h
@@ -1,9 +1,11 @@
-// Records an attempt and tells all limits of it.
+// Creates an attempt and reports it to every limit.
 //
-// Decides: nothing; turns a shard request and the endpoint picked for it into a kSendAttempt action with
-// its timeout. Every attempt passes here, after replica_selection has found it allowed.
+// Decides: nothing. It turns a shard request and the endpoint picked for it into a kSendAttempt action with
+// its timeout. Every attempt is created here, after ReplicaSelection has found it allowed.
 //
-// Why: a limit that isn't told of an attempt would let too many through.
+// Inputs: the shard request, the endpoint, and the time (nanoseconds).
+//
+// Why: a limit that misses an attempt would allow too many.
 #pragma once
 #include "policy/attempt_guard.h"
 #include "policy/batch_tracker.h"
@@ -28,7 +30,9 @@
         batches_(batches),
         deadlines_(deadlines) {}
 
-  PolicyAction send(ShardRequest& shard_request, Endpoint& endpoint, Time now, bool is_hedge);
+  // Records the attempt and returns the action that sends it.
+  // @param is_extra the attempt spends an extra-attempt token of the retry budget
+  PolicyAction send(ShardRequest& shard_request, Endpoint& endpoint, Time now, bool is_extra);
 
  private:
   const AttemptGuard& guard_;
--- a/src/policy/completion.h
+++ b/src/policy/completion.h
@@ -1,12 +1,13 @@
-// Ends requests, each with exactly one final response.
+// Ends each request with exactly one final response.
 //
-// Decides: when a request is responded to, and how: complete (the required weight is in), partial (time is
-// up and the least share is in), rejected (a new try is surely harmless) or failed.
+// Decides: when a request ends, and how: complete (the required weight has arrived), partial (time is up
+// and the minimum share has arrived), rejected (the client can safely retry) or failed.
 //
-// Inputs: weights received and still possible, the deadlines, idempotency.
+// Inputs: the weight received and the weight still possible, the deadlines (nanoseconds), and the
+// idempotency of the class.
 //
-// Why: a client must never wait for what can't come any more, and never be asked to repeat what may have
-// run.
+// Why: a client must not wait for a response that can no longer arrive, and must not be told to repeat work
+// that may have run.
 #pragma once
 #include <optional>
 
@@ -31,23 +32,26 @@
         admission_(admission),
         canceller_(canceller) {}
   // See RequestPolicy::set_retry_after.
-  void configure(bool may_advise, Time longest_retry_after);
+  void configure(bool may_send_retry_after, Time longest_retry_after);
 
-  // The response of the request's present step, where it is due.
-  std::optional<PolicyAction> settle(Request& request, Time now);
-  // Without a response: a rejection where trying again is harmless, else a failure. Without `retry_after` the
-  // longest is advised, as nothing tells when a new try would succeed.
-  PolicyAction give_up(Request& request, Time retry_after);
-  PolicyAction give_up(Request& request) { return give_up(request, longest_retry_after_); }
-  // Nothing more comes of the request; its attempts in flight are cancelled.
+  // Ends the request's present step if its outcome is certain or its time is up.
+  // @return the final or first-step response, the rejection or the failure; nothing if the step goes on
+  std::optional<PolicyAction> respond_if_due(Request& request, Time now);
+  // Ends the request without a response: with a rejection if the client can safely retry, otherwise with a
+  // failure. Without `retry_after` (nanoseconds) the longest Retry-After is sent, as it is not known when a
+  // retry would succeed.
+  PolicyAction reject_or_fail(Request& request, Time retry_after);
+  PolicyAction reject_or_fail(Request& request) { return reject_or_fail(request, longest_retry_after_); }
+  // Ends the request and cancels its attempts in flight.
+  // @param is_in_time the response was sent within the latency objective
   void end(Request& request, bool is_in_time);
 
-  // Whether hedges of this request could still be in time.
-  bool has_time_for_hedges(const Request& request, Time now) const;
+  // Whether an extra attempt of this request could still be in time.
+  bool has_time_for_extra_attempts(const Request& request, Time now) const;
 
  private:
   PolicyAction respond(Request& request, bool is_complete, Time now);
-  bool may_still_respond(const ShardRequest& shard_request, Time now);
+  bool may_still_get_response(const ShardRequest& shard_request, Time now);
 
   RequestTable& requests_;
   AttemptGuard& guard_;
@@ -57,7 +61,7 @@
   const DeadlinePolicy& deadlines_;
   AdmissionController& admission_;
   AttemptCanceller& canceller_;
-  bool may_advise_ = false;
+  bool may_send_retry_after_ = false;
   Time longest_retry_after_ = 0;
 };
 
--- a/src/policy/deadline_policy.h
+++ b/src/policy/deadline_policy.h
@@ -1,11 +1,11 @@
-// Tells until when a response is useful.
+// Computes until when the response to a request is useful.
 //
-// Decides: when a request's latency objective and its usefulness end.
+// Decides: when the latency objective of a request ends, and when a response earns nothing any more.
 //
-// Inputs: its arrival and the client's remaining wait (nanoseconds), whether it is a client's retry, what
-// a late response earns.
+// Inputs: the request's arrival and the time that the client will still wait (nanoseconds), whether the
+// request is a client's retry, and the value of a late response.
 //
-// Why: work for responses that earn nothing any more makes others late.
+// Why: work for responses that are no longer useful delays other requests.
 #pragma once
 #include "policy/request.h"
 
@@ -14,16 +14,17 @@
 class DeadlinePolicy {
  public:
   void set_clients_mark_retries(bool mark_retries) { clients_mark_retries_ = mark_retries; }
+  // See RequestPolicy::set_tick.
   void set_tick(Time tick) { tick_ = tick; }
   Time tick() const { return tick_; }
 
-  // Learns by majority vote the time that a class's clients give their first tries.
+  // Learns, by a running majority vote over arrivals, how much time the clients of a class give a first try.
   void record_arrival(RequestClass& request_class, Time time_left) const;
 
-  // When a response stops earning its full value. A client's retry comes with what that client has left,
-  // which tells how long it has waited.
-  Time objective_ends(const Request& request) const;
-  // When it stops earning anything: a tick before the client's deadline at the latest.
+  // Returns when a response stops earning its full value. A client's retry arrives with the rest of that
+  // client's timeout, which shows how long the client has already waited.
+  Time objective_deadline(const Request& request) const;
+  // Returns when a response stops earning anything, at the latest one tick before the client's deadline.
   Time useful_until(const Request& request) const;
 
  private:
--- a/src/policy/discovery_refresh.cpp
+++ b/src/policy/discovery_refresh.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Shortest and longest backoff, as parts of the interval.
+// The interval is divided by these to get the shortest and the longest backoff.
 constexpr int kShortestBackoffDivisor = 20;
 constexpr int kLongestBackoffDivisor = 2;
 
--- a/src/policy/endpoint_list.cpp
+++ b/src/policy/endpoint_list.cpp
@@ -12,27 +12,27 @@
   Endpoint& endpoint = endpoints_.find_or_add(id);
   endpoint.zone = zone;
   endpoints_.place(endpoint, ring_position);
-  endpoint.last_listed = list_number_;
+  endpoint.last_list_number = list_number_;
   if (state != EndpointState::kRemoved) endpoint.removed_at = kNever;
   const bool is_ready = state == EndpointState::kReady;
-  if (is_ready && endpoint.started_at != started_at) start_new_process(endpoint, started_at);
+  if (is_ready && endpoint.started_at != started_at) reset_for_new_process(endpoint, started_at);
   endpoints_.set_ready(endpoint, is_ready);
   if (state != EndpointState::kRemoved) return;
   endpoints_.mark_removed(endpoint, received_at_);
-  stall_attempts(endpoint);
+  mark_attempts_stalled(endpoint);
 }
 
 void EndpointList::end() {
   discovery_.list_received();
   if (!is_complete_) return;
   endpoints_.for_each([this](Endpoint& endpoint) {
-    if (endpoint.last_listed == list_number_) return;
+    if (endpoint.last_list_number == list_number_) return;
     endpoints_.set_ready(endpoint, false);
     endpoints_.mark_removed(endpoint, received_at_);
   });
 }
 
-void EndpointList::start_new_process(Endpoint& endpoint, Time started_at) {
+void EndpointList::reset_for_new_process(Endpoint& endpoint, Time started_at) {
   endpoint.is_ejected = false;
   endpoint.failure_rate = 0;
   endpoint.samples = 0;
@@ -40,7 +40,7 @@
   slow_start_.endpoint_started(endpoint, received_at_, random_);
 }
 
-void EndpointList::stall_attempts(Endpoint& endpoint) {
+void EndpointList::mark_attempts_stalled(Endpoint& endpoint) {
   for (Attempt* attempt : endpoint.attempts) {
     attempt->is_overdue = true;
     attempt->is_stalled = true;
--- a/src/policy/endpoint_list.h
+++ b/src/policy/endpoint_list.h
@@ -1,11 +1,12 @@
-// Takes in the endpoint list.
+// Applies the endpoint list.
 //
-// Decides: nothing; brings the endpoint table up to what a list, complete or of changes, says.
+// Decides: nothing. It updates the endpoint table from a list, which is either complete or holds changes
+// only.
 //
-// Inputs: its entries.
+// Inputs: the entries of the list.
 //
-// Why: attempts at an endpoint that was removed won't come back, and a new process behind an old endpoint
-// must neither inherit what was measured of the last one nor be sent its full load.
+// Why: attempts at a removed endpoint will not return. A new process at a known endpoint must not inherit
+// the measurements of the old process, nor get its full load at once.
 #pragma once
 #include "policy/discovery_refresh.h"
 #include "policy/endpoint_table.h"
@@ -24,13 +25,14 @@
         discovery_(discovery),
         random_(random) {}
 
+  // Called once for each list: begin(), add() for each entry, then end(). See RequestPolicy::list_begins.
   void begin(Time now, bool is_complete);
   void add(EndpointId id, EndpointState state, Time started_at, int ring_position, int zone);
   void end();
 
  private:
-  void start_new_process(Endpoint& endpoint, Time started_at);
-  void stall_attempts(Endpoint& endpoint);
+  void reset_for_new_process(Endpoint& endpoint, Time started_at);
+  void mark_attempts_stalled(Endpoint& endpoint);
 
   EndpointTable& endpoints_;
   RequestTable& requests_;
--- a/src/policy/endpoint_state.h
+++ b/src/policy/endpoint_state.h
@@ -1,4 +1,4 @@
-// How callers name an endpoint, and what the endpoint list says of it.
+// The id of an endpoint, and its state in the endpoint list.
 #pragma once
 #include <cstdint>
 
--- a/src/policy/endpoint_table.cpp
+++ b/src/policy/endpoint_table.cpp
@@ -41,7 +41,7 @@
 
 std::vector<Endpoint*> EndpointTable::replicas(int shard) const {
   std::vector<Endpoint*> found;
-  found.reserve(replicas_);  // mostly one endpoint at each position
+  found.reserve(replicas_);  // most ring positions have one endpoint
   for (int offset = 0; offset < replicas_; ++offset) {
     for (Endpoint* endpoint : ring_[(shard + offset) % ring_.size()]) found.push_back(endpoint);
   }
@@ -65,7 +65,7 @@
   while (!removals_.empty() && removals_.front().at < before) {
     const Removal removal = removals_.front();
     const auto found = endpoints_.find(removal.id);
-    if (found == endpoints_.end() || found->second->removed_at != removal.at) {  // listed again since
+    if (found == endpoints_.end() || found->second->removed_at != removal.at) {  // it was listed again
       removals_.pop_front();
       continue;
     }
--- a/src/policy/endpoint_table.h
+++ b/src/policy/endpoint_table.h
@@ -1,6 +1,6 @@
-// All endpoints listed, or removed for less than a while: by id, and by the ring position that tells which
-// shards they hold. Figures over all of them are kept up to date, so that no event costs more in a larger
-// cluster.
+// Holds all endpoints that are listed or were removed recently, by id and by ring position; the ring
+// position determines which shards an endpoint holds. Sums over all endpoints are updated with each change,
+// so the cost of an event does not grow with the cluster.
 #pragma once
 #include <deque>
 #include <map>
@@ -19,22 +19,25 @@
   void set_layout(int ring_size, int replicas);
 
   Endpoint& find_or_add(EndpointId id);
-  void place(Endpoint& endpoint, int ring_position);  // one outside the ring is ignored
+  // Moves the endpoint to the ring position. A position outside the ring is ignored.
+  void place(Endpoint& endpoint, int ring_position);
   void set_ready(Endpoint& endpoint, bool is_ready);
   void mark_removed(Endpoint& endpoint, Time now);
 
-  // Endpoints that hold the shard, ready or not.
+  // Returns all endpoints that hold the shard, whether they are ready or not.
   std::vector<Endpoint*> replicas(int shard) const;
 
-  // Counts a good response, and no longer those from before `since`.
+  // Counts a successful response, and drops those from before `since` from the count.
   void record_response(Endpoint& endpoint, Time now, Time since);
-  // Good responses counted, over the ready endpoints.
+  // Returns the mean number of counted responses over the ready endpoints.
   double mean_recent_responses() const;
 
-  // Forgets one endpoint removed before `before`, with nothing in flight or counted; returns its id.
+  // Erases one endpoint that was removed before `before` and has no attempts in flight and no counted
+  // responses.
+  // @return the id of the erased endpoint; nothing if there is none
   std::optional<EndpointId> forget_one(Time before);
 
-  // In the order of ids.
+  // Calls the function for each endpoint, in the order of ids.
   template <class Function>
   void for_each(Function function) {
     for (auto& [id, endpoint] : endpoints_) function(*endpoint);
--- a/src/policy/latency_estimator.cpp
+++ b/src/policy/latency_estimator.cpp
@@ -10,11 +10,12 @@
 constexpr double kLatencyGain = 1.0 / 8;
 constexpr double kDeviationGain = 1.0 / 4;
 constexpr double kMinEndpointGain = 1.0 / 4;
-constexpr double kMemoryObjectives = 10;  // shortest latency objectives over which a sample fades
-constexpr double kMedianStep = 1.0 / 32;
-constexpr double kServiceTimeStep = 1.4;
+// The weight of a sample falls to 1/e within this many of the shortest latency objectives.
+constexpr double kSampleDecayObjectives = 10;
+constexpr double kMedianGain = 1.0 / 32;
+constexpr double kSlownessRatio = 1.4;  // service time per slowness level
 
-Time scaled(double gain, Time by) { return static_cast<Time>(gain * by); }
+Time scaled(double gain, Time difference) { return static_cast<Time>(gain * difference); }
 
 }  // namespace
 
@@ -31,32 +32,32 @@
   request_class.latency_deviation += scaled(kDeviationGain, deviation - request_class.latency_deviation);
   request_class.smoothed_latency += scaled(kLatencyGain, latency - request_class.smoothed_latency);
   const double service_time_s = seconds(latency) / (attempt.queue_length_before + 1);
-  if (usual_service_time_s_ == 0) usual_service_time_s_ = service_time_s;
-  usual_service_time_s_ *= service_time_s > usual_service_time_s_ ? 1 + kMedianStep : 1 - kMedianStep;
+  if (median_service_time_s_ == 0) median_service_time_s_ = service_time_s;
+  median_service_time_s_ *= service_time_s > median_service_time_s_ ? 1 + kMedianGain : 1 - kMedianGain;
   add_sample(*attempt.endpoint, latency, attempt.queue_length_before + 1, now);
 }
 
 void LatencyEstimator::record_no_response(const Attempt& attempt, Time now) const {
   const double age_s = seconds(now - attempt.sent_at);
-  const double slowest_s = std::max(usual_service_time_s_, attempt.endpoint->service_time_s);
-  if (age_s > slowest_s * (attempt.queue_length_before + 1)) {
+  const double usual_s = std::max(median_service_time_s_, attempt.endpoint->service_time_s);
+  if (age_s > usual_s * (attempt.queue_length_before + 1)) {
     add_sample(*attempt.endpoint, now - attempt.sent_at, attempt.queue_length_before + 1, now);
   }
 }
 
 double LatencyEstimator::expected_latency_s(const Endpoint& endpoint, Time now) const {
-  const double usual_s = usual_service_time_s_ / slow_start_.capacity_share(endpoint, now);
-  return believed_service_time_s(endpoint, usual_s, now) * (queue_length(endpoint) + 1);
+  const double default_s = median_service_time_s_ / slow_start_.capacity_share(endpoint, now);
+  return blended_service_time_s(endpoint, default_s, now) * (queue_length(endpoint) + 1);
 }
 
-int LatencyEstimator::steps_slower(const Endpoint& endpoint, Time now) const {
-  const double usual_s = usual_service_time_s_;
-  const double ratio = usual_s > 0 ? believed_service_time_s(endpoint, usual_s, now) / usual_s : 1;
-  return ratio > 1 ? static_cast<int>(std::log(ratio) / std::log(kServiceTimeStep)) : 0;
+int LatencyEstimator::slowness_level(const Endpoint& endpoint, Time now) const {
+  const double median_s = median_service_time_s_;
+  const double ratio = median_s > 0 ? blended_service_time_s(endpoint, median_s, now) / median_s : 1;
+  return ratio > 1 ? static_cast<int>(std::log(ratio) / std::log(kSlownessRatio)) : 0;
 }
 
-// Latency and queue length are smoothed apart, as a mean of ratios would hide the responses that had to
-// queue.
+// Latency and queue length are smoothed separately, because a mean of their ratios would hide the responses
+// that had to queue.
 void LatencyEstimator::add_sample(Endpoint& endpoint, Time latency, int queue_length, Time now) const {
   const bool has_samples = endpoint.samples++ > 0;
   const double gain = has_samples ? std::max(kMinEndpointGain, 1 - sample_weight(endpoint, now)) : 1;
@@ -66,14 +67,16 @@
   endpoint.sampled_at = now;
 }
 
-// How much of what was measured of the endpoint still counts: 1 at once, falling to 0.
+// Returns the weight of the endpoint's measurements: 1 right after a sample, then falling towards 0.
 double LatencyEstimator::sample_weight(const Endpoint& endpoint, Time now) const {
   if (!endpoint.samples) return 0;
-  return std::exp(-seconds(now - endpoint.sampled_at) / (kMemoryObjectives * seconds(shortest_objective_)));
+  return std::exp(-seconds(now - endpoint.sampled_at) /
+                  (kSampleDecayObjectives * seconds(shortest_objective_)));
 }
 
-double LatencyEstimator::believed_service_time_s(const Endpoint& endpoint, double usual_s, Time now) const {
-  return usual_s + sample_weight(endpoint, now) * (endpoint.service_time_s - usual_s);
+// Returns the endpoint's measured service time, blended with default_s by the weight of the measurements.
+double LatencyEstimator::blended_service_time_s(const Endpoint& endpoint, double default_s, Time now) const {
+  return default_s + sample_weight(endpoint, now) * (endpoint.service_time_s - default_s);
 }
 
 }  // namespace cairnhub
--- a/src/policy/locality_router.cpp
+++ b/src/policy/locality_router.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr double kMaxSavedAttempts = 4;
+constexpr double kMaxSavedAttempts = 4;  // credit that a zone keeps, unless one request needs more
 
 }  // namespace
 
-void LocalityRouter::configure(std::vector<ZoneLimit> zones, int step, double exploration_share) {
+void LocalityRouter::configure(std::vector<ZoneLimit> zones, int remote_penalty, double exploration_share) {
   credit_.resize(zones.size(), 0);
   zones_ = std::move(zones);
-  step_ = step;
+  remote_penalty_ = remote_penalty;
   exploration_share_ = exploration_share;
 }
 
@@ -31,14 +31,15 @@
   return !(shard_request.request->request_class->stays_in_region && zones_[zone].is_other_region);
 }
 
-int LocalityRouter::extra_batches(const ShardRequest& shard_request, const Endpoint& endpoint,
-                                  int steps_slower) const {
+int LocalityRouter::batch_penalty(const ShardRequest& shard_request, const Endpoint& endpoint,
+                                  int slowness_level) const {
   if (zones_.empty()) return 0;
   const bool is_preferred = endpoint.zone == shard_request.preferred_zone;
   if (shard_request.explores_zone && is_preferred) return 0;
   const bool has_spent_own_share = endpoint.zone == 0 && zones_[0].max_share < 1 && credit_[0] <= 0;
-  const int distance = is_preferred && !endpoint.is_ejected ? 0 : step_;
-  return distance + (has_spent_own_share ? 2 * step_ : 0) + std::min(steps_slower, 2 * step_);
+  const int distance_penalty = is_preferred && !endpoint.is_ejected ? 0 : remote_penalty_;
+  return distance_penalty + (has_spent_own_share ? 2 * remote_penalty_ : 0) +
+         std::min(slowness_level, 2 * remote_penalty_);
 }
 
 void LocalityRouter::record_demand(double shard_requests) {
@@ -51,8 +52,9 @@
 void LocalityRouter::record_attempt(const Endpoint& endpoint) {
   if (zones_.empty()) return;
   double& credit = credit_of(endpoint);
-  credit =
-      std::max(-kMaxSavedAttempts, credit - 1);  // what stayed in the own zone for want of another isn't owed
+  // The debt is limited: the own zone also gets attempts that no other zone could take, and need not make up
+  // for them.
+  credit = std::max(-kMaxSavedAttempts, credit - 1);
 }
 
 void LocalityRouter::reserve(const Endpoint& endpoint) {
--- a/src/policy/locality_router.h
+++ b/src/policy/locality_router.h
@@ -1,12 +1,13 @@
-// Prefers endpoints of the own zone, and limits what goes to other zones.
+// Prefers endpoints in the broker's own zone and limits the load sent to other zones.
 //
-// Decides: whether an attempt may go to an endpoint's zone, and by how many batches the endpoint counts as
-// busier.
+// Decides: whether an attempt may go to an endpoint's zone, and how many batches are added to the
+// endpoint's load when replicas are compared.
 //
-// Inputs: the share of this broker's shard requests that each zone may get, as all brokers have agreed on
-// it. An attempt takes one of its zone's credits; they gather with what clients ask for.
+// Inputs: for each zone, the maximum share of this broker's shard requests, as agreed by all brokers.
+// Demand from clients adds credit to each zone; an attempt spends one credit of its zone.
 //
-// Why: when a zone fails, all brokers would move their whole load to the next one, which would fail too.
+// Why: when a zone fails, all brokers would otherwise move their whole load to the next zone, which would
+// fail too.
 #pragma once
 #include <cstddef>
 #include <vector>
@@ -20,24 +21,29 @@
 class LocalityRouter {
  public:
   // See RequestPolicy::set_zone_limits.
-  void configure(std::vector<ZoneLimit> zones, int step, double exploration_share);
+  void configure(std::vector<ZoneLimit> zones, int remote_penalty, double exploration_share);
   bool is_enabled() const { return !zones_.empty(); }
 
-  // Draws whether a selected shard request prefers another zone, so that its latency stays known.
+  // Makes a selected shard request, at random, prefer a zone drawn at random, so that the latency of every
+  // zone stays known.
   void draw_preferred_zone(ShardRequest& shard_request, RandomSource& random) const;
 
+  // Whether the limits allow the shard request to go to the endpoint's zone.
   bool allows(const ShardRequest& shard_request, const Endpoint& endpoint) const;
-  // Batches to add to those in flight to the endpoint. An ejected one counts as far away, else whatever finds
-  // the others busy would try it.
-  int extra_batches(const ShardRequest& shard_request, const Endpoint& endpoint, int steps_slower) const;
-
-  // Asked for by a request, admitted or not, or by a further attempt. Without the latter, those would use up
-  // what first attempts need, and they would wait for requests that never come.
+  // Returns the number of batches to add to those in flight to the endpoint when replicas are compared. An
+  // ejected endpoint gets the penalty of a remote one, since shard requests that find the other endpoints
+  // busy would otherwise try it.
+  int batch_penalty(const ShardRequest& shard_request, const Endpoint& endpoint, int slowness_level) const;
+
+  // Adds credit for shard requests that a client asked for, whether its request is admitted or not, and for
+  // further attempts. Without the credit for further attempts, these would use up the credit that first
+  // attempts need and would then wait for new requests that may not arrive.
   void record_demand(double shard_requests);
   void record_attempt(const Endpoint& endpoint);
 
-  // Credit held by the shard requests of one request while its latency is estimated: else all of them would
-  // count on the same credit, and the request would wait for what it can't get.
+  // Reserves credit for the shard requests of one request while its latency is estimated. Without
+  // reservations all of them would count on the same credit, and the request would be admitted but have to
+  // wait for credit.
   void reserve(const Endpoint& endpoint);
   void release_reservations();
 
@@ -47,7 +53,7 @@
   std::vector<ZoneLimit> zones_;
   std::vector<double> credit_;  // attempts, by zone
   std::vector<int> reserved_zones_;
-  int step_ = 0;
+  int remote_penalty_ = 0;
   double exploration_share_ = 0;
 };
 
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -20,7 +20,7 @@
       request_class.smoothed_latency + kOverdueDeviations * request_class.latency_deviation);
 }
 
-Time OutlierDetector::silent_after(const RequestClass& request_class) const {
+Time OutlierDetector::stalled_after(const RequestClass& request_class) const {
   return std::min(overdue_after(request_class), request_class.latency_objective / 2);
 }
 
@@ -48,10 +48,10 @@
   if (endpoint.failure_rate < kEjectionFailureRate / 2) endpoint.is_ejected = false;
 }
 
-void OutlierDetector::record_failure(Endpoint& endpoint, bool is_grave, const RequestClass& request_class,
+void OutlierDetector::record_failure(Endpoint& endpoint, bool is_severe, const RequestClass& request_class,
                                      Time now) const {
   endpoint.failure_rate += kFailureRateGain * (1 - endpoint.failure_rate);
-  if (is_grave) endpoint.failure_rate = std::max(endpoint.failure_rate, kEjectionFailureRate);
+  if (is_severe) endpoint.failure_rate = std::max(endpoint.failure_rate, kEjectionFailureRate);
   if (endpoint.failure_rate < kEjectionFailureRate) return;
   const bool was_ejected = std::exchange(endpoint.is_ejected, true);
   if (!was_ejected) endpoint.probe_interval = kFirstProbeLatencies * request_class.smoothed_latency;
@@ -61,12 +61,12 @@
 bool OutlierDetector::review(Attempt& attempt, const RequestClass& request_class, Time now) const {
   if (attempt.has_ended || attempt.is_stalled) return false;
   const Time age = now - attempt.sent_at;
-  const Time silent_age = silent_after(request_class);
-  const bool is_overtaken = attempt.overtaken_by >= kStalledAfterOvertaken && age >= silent_age;
-  // Not before twice what was expected: an endpoint that warms up, or has a queue, is slow without being
-  // silent.
+  const Time stalled_age = stalled_after(request_class);
+  const bool is_overtaken = attempt.overtaken_by >= kStalledAfterOvertaken && age >= stalled_age;
+  // An attempt is silent only past twice its expected latency: an endpoint that is warming up or has a queue
+  // is slow, but not silent.
   const bool is_silent = attempt.endpoint->last_response_at <= attempt.sent_at &&
-                         age >= std::max(silent_age, 2 * attempt.expected_latency);
+                         age >= std::max(stalled_age, 2 * attempt.expected_latency);
   attempt.is_overdue = attempt.is_overdue || is_silent || is_overtaken || age >= overdue_after(request_class);
   if (!is_silent && !is_overtaken) return false;
   attempt.is_stalled = true;
--- a/src/policy/replica_selection.cpp
+++ b/src/policy/replica_selection.cpp
@@ -14,14 +14,15 @@
   Endpoint* best = nullptr;
   Rank best_rank;
   std::size_t ties = 0;
-  bool is_shut_out = false;  // a live replica elsewhere may not get it for now
+  bool is_blocked_by_zone_limit = false;  // a zone limit blocks a live replica
   const auto replicas = endpoints_.replicas(shard_request.shard);
   const bool stays_in_zone = must_stay_in_zone(shard_request, replicas);
   for (Endpoint* endpoint : replicas) {
     const History history = history_at(shard_request, *endpoint);
     if (history == History::kSent || (stays_in_zone && endpoint->zone != 0)) continue;
     const bool is_live = endpoint->is_ready && !endpoint->is_ejected;
-    is_shut_out = is_shut_out || (is_live && !locality_.allows(shard_request, *endpoint));
+    is_blocked_by_zone_limit =
+        is_blocked_by_zone_limit || (is_live && !locality_.allows(shard_request, *endpoint));
     if (!guard_.may_send(shard_request, *endpoint, now)) continue;
     const Rank rank = this->rank(shard_request, *endpoint, history == History::kReturnedError, now);
     if (best && best_rank < rank) continue;
@@ -29,13 +30,14 @@
     if (random_.below(++ties) == 0) best = endpoint;
     best_rank = rank;
   }
-  // Without this, a shard request shut out of the live replicas would go to a dead one, and the rest of its
-  // request would be wasted work for the live zones.
-  if (is_shut_out && best_rank.is_ejected && is_likely_down(*best, now)) return nullptr;
+  // A shard request that zone limits keep from its live replicas must not go to a replica that is down: it
+  // would fail, and the other shard requests of its request would be wasted work for the live zones.
+  if (is_blocked_by_zone_limit && best_rank.is_ejected && is_likely_down(*best, now)) return nullptr;
   return best;
 }
 
-// An endpoint that returns errors at once looks idle, but may be tried again after the others.
+// An endpoint that returned an error may get the shard request again, but ranks one batch behind the others:
+// one that returns errors at once looks idle.
 ReplicaSelection::History ReplicaSelection::history_at(const ShardRequest& shard_request,
                                                        const Endpoint& endpoint) {
   History history = History::kNone;
@@ -57,18 +59,18 @@
 
 ReplicaSelection::Rank ReplicaSelection::rank(const ShardRequest& shard_request, const Endpoint& endpoint,
                                               bool returned_error, Time now) const {
-  const int steps_slower = latencies_.steps_slower(endpoint, now);
-  const int extra = locality_.extra_batches(shard_request, endpoint, steps_slower);
-  const int batches = endpoint.batches_in_flight + returned_error + extra;
+  const int slowness_level = latencies_.slowness_level(endpoint, now);
+  const int batch_penalty = locality_.batch_penalty(shard_request, endpoint, slowness_level);
+  const int batches = endpoint.batches_in_flight + returned_error + batch_penalty;
   return {.is_ejected = outliers_.is_ejected_now(endpoint, now),
           .load = 2 * batches - (batches_.has_room(endpoint) ? 3 : 0),
-          .steps_slower = steps_slower};
+          .slowness_level = slowness_level};
 }
 
-// One that has responded lately was late, not down.
+// An endpoint that has responded recently is slow rather than down.
 bool ReplicaSelection::is_likely_down(const Endpoint& endpoint, Time now) const {
   const double quiet_service_times =
-      seconds(now - endpoint.last_response_at) / latencies_.usual_service_time_s();
+      seconds(now - endpoint.last_response_at) / latencies_.median_service_time_s();
   return quiet_service_times > kMaxQuietServiceTimes;
 }
 
--- a/src/policy/replica_selection.h
+++ b/src/policy/replica_selection.h
@@ -1,12 +1,13 @@
-// Selects the endpoint that a shard request is sent to.
+// Selects the endpoint to which a shard request is sent.
 //
-// Decides: among the shard's replicas that may get the attempt, the one with the fewest of this broker's
-// batches in flight; ties go to the one not known to be slow, then at random. Ejected endpoints come last.
-// A shard request that joins an open batch adds none, so that batch isn't counted.
+// Decides: which replica of the shard is used. Of those that may get the attempt, it is the one with the
+// fewest of this broker's batches in flight. A tie goes to the replica that is not known to be slow, then
+// to a random one. Ejected endpoints come last. A shard request that joins an open batch adds no batch, so
+// the open batch is not counted.
 //
-// Inputs: batches in flight, locality, ejection, measured service times.
+// Inputs: batches in flight, locality, ejection, and measured service times.
 //
-// Why: replicas that queue would make the slowest shard request, and so the whole request, late.
+// Why: a replica with a queue delays its shard request and thereby the whole request.
 #pragma once
 #include <tuple>
 #include <vector>
@@ -32,20 +33,21 @@
         batches_(batches),
         random_(random) {}
 
-  // Null where no replica may get the shard request now.
+  // @return the endpoint to send the shard request to; null if no replica may get it now
   Endpoint* pick(const ShardRequest& shard_request, Time now);
 
  private:
-  struct Rank {  // the lowest is best
+  // The replica with the lowest rank is picked.
+  struct Rank {
     bool is_ejected = false;
-    int load = 0;  // twice the batches, so that an open batch ranks between two counts
-    int steps_slower = 0;
+    int load = 0;  // twice the batches, so that an open batch can rank between two counts
+    int slowness_level = 0;
     bool operator<(const Rank& other) const {
-      return std::tie(is_ejected, load, steps_slower) <
-             std::tie(other.is_ejected, other.load, other.steps_slower);
+      return std::tie(is_ejected, load, slowness_level) <
+             std::tie(other.is_ejected, other.load, other.slowness_level);
     }
   };
-  // What became of this shard request's earlier attempts at an endpoint.
+  // The result of the shard request's earlier attempts at an endpoint.
   enum class History { kNone, kReturnedError, kSent };
 
   static History history_at(const ShardRequest& shard_request, const Endpoint& endpoint);
--- a/src/policy/request_class.h
+++ b/src/policy/request_class.h
@@ -1,4 +1,4 @@
-// What the operator states of one class of requests, and the latency measured for its shard requests.
+// The configured properties of a class of requests, and the measured latency of its shard requests.
 #pragma once
 #include "base/time.h"
 
@@ -7,32 +7,33 @@
 enum class Idempotency {
   kIdempotent,    // may be repeated at any time
   kDeduplicated,  // repeats are dropped within the deduplication window
-  kAtMostOnce,    // may be repeated only where no attempt can have run
+  kAtMostOnce,    // may be repeated only if no attempt can have run
 };
 
 struct RequestClass {
   Idempotency idempotency = Idempotency::kIdempotent;
-  Time latency_objective = 0;     // a response within it earns the class's full value
-  Time request_timeout = 0;       // the client's whole wait, all its tries together
+  Time latency_objective = 0;     // a response within it earns the full value
+  Time request_timeout = 0;       // how long a client waits in all, including its retries
   Time deduplication_window = 0;  // from the first attempt that may have run; kDeduplicated only
   double importance = 1;
-  double late_value_share = 0;     // what a response past the latency objective still earns
-  double required_share = 1;       // share of weight that makes a complete response
-  double min_response_share = 1;   // share of weight under which no response may be given
-  double partial_value_share = 0;  // what a partial response earns, times share / required_share
+  double late_value_share = 0;     // share of the value that a later response earns
+  double required_share = 1;       // share of the weight that makes a response complete
+  double min_response_share = 1;   // share of the weight without which no response is sent
+  double partial_value_share = 0;  // a partial response earns this * received share / required_share
   int second_step_shard_requests = 0;
   bool stays_in_region = false;
-  bool stays_in_zone =
-      false;  // for the moment, except for shards that have lost all replicas in the own zone
+  // Temporary; does not apply to shards that have lost all replicas in this broker's zone.
+  bool stays_in_zone = false;
 
-  // As configured; latency_objective and min_response_share may be tightened for a while.
+  // The configured values; latency_objective and min_response_share may be stricter for a while.
   Time configured_latency_objective = 0;
   double configured_min_response_share = 1;
 
-  // Measured: smoothed latency of a shard request and its mean deviation.
+  // Measurements: the smoothed latency of a shard request and its smoothed mean deviation.
   Time smoothed_latency = 0;
   Time latency_deviation = 0;
-  Time first_try_time_left = 0;  // that clients give a first try, by majority
+  // The time that most clients give a first try, found by a running majority vote.
+  Time first_try_time_left = 0;
   long first_try_votes = 0;
 };
 
--- a/src/policy/request_class_limiter.h
+++ b/src/policy/request_class_limiter.h
@@ -1,9 +1,12 @@
-// Limits the requests of each class in flight to what all brokers have agreed on.
+// Limits how many requests of each class are in flight.
 //
-// Decides: on arrival, before RequestPolicy hears of the request, whether it goes on or is rejected. Inputs:
-// whether the class is served at present, the most requests of it in flight here, and those that are. Why: a
-// class that operators have closed or bounded would go on loading the servers; and as nothing of the request
-// has been sent, rejecting it is harmless whatever its idempotency.
+// Decides: whether an arriving request is passed on to RequestPolicy or rejected.
+//
+// Inputs: whether the class is served at present, the maximum number of its requests in flight at this
+// broker, as agreed by all brokers, and their present number.
+//
+// Why: requests of a class that operators have closed or limited would otherwise still load the servers.
+// Nothing of the request has been sent yet, so rejecting it is safe for every idempotency.
 #pragma once
 #include <map>
 
@@ -11,10 +14,10 @@
 
 class RequestClassLimiter {
  public:
-  // Counts the request as in flight, rejected or not, until release() is called for it.
-  // @return whether it goes on
+  // Counts the request as in flight, whether it is admitted or rejected, until release() is called for it.
+  // @return whether the request is admitted
   bool admit(int request_class, bool is_served, int max_in_flight);
-  // The request has ended.
+  // Must be called once for each request that has ended, rejected ones included.
   void release(int request_class);
 
  private:
--- a/src/policy/request_lifecycle.h
+++ b/src/policy/request_lifecycle.h
@@ -1,10 +1,10 @@
-// Takes requests from their arrival to their final response.
+// Takes each request from its arrival to its final response.
 //
-// Decides: in which order the rules are asked about a request, and when it asks to be woken.
+// Decides: in which order the modules review a request, and when the request asks to be woken.
 //
-// Inputs: arrivals, clients that leave, wake-ups.
+// Inputs: arrivals, clients that leave, and wake-ups.
 //
-// Why: a request that nobody reviews again would never be ended.
+// Why: a request that is never reviewed again would never end.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -27,14 +27,14 @@
         deadlines_(deadlines),
         retries_(retries) {}
 
-  // See the inputs of the same names in RequestPolicy.
-  void request_arrived(Time now, RequestId id, RequestClass& request_class, float number,
+  // See the inputs with these names in RequestPolicy.
+  void request_arrived(Time now, RequestId id, RequestClass& request_class, float correlation_id,
                        bool is_client_retry, Time time_left);
-  void shard_request_arrived(Time now, RequestId id, float number, int shard, double weight);
+  void shard_request_arrived(Time now, RequestId id, float correlation_id, int shard, double weight);
   void request_abandoned(RequestId id);
   void woken(RequestId id);
 
-  // The next action that the request gives rise to; nothing: it has been reviewed.
+  // @return the next action for the request; nothing once its review is finished
   std::optional<PolicyAction> review(Request& request, Time now);
 
  private:
--- a/src/policy/request_policy.cpp
+++ b/src/policy/request_policy.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <deque>
 #include <stdexcept>
+#include <string>
 #include <utility>
 
 #include "base/random_source.h"
@@ -14,13 +15,14 @@
 
 namespace {
 
-// Until something has been measured; leaves time for one overdue attempt and its hedge.
+// Initial estimates, used until responses have been measured. They leave time for one overdue attempt and its
+// hedge.
 constexpr int kInitialLatencyDivisor = 4;    // of the latency objective
 constexpr int kInitialDeviationDivisor = 4;  // of the smoothed latency
 
 }  // namespace
 
-// Each module knows those above it alone.
+// Each module refers only to modules declared above it.
 struct RequestPolicy::Modules {
   explicit Modules(std::uint64_t seed) : random(seed) {}
 
@@ -49,10 +51,10 @@
   EndpointList list{endpoints, requests, slow_start, discovery, random};
   Time longest_timeout = 0;
 
-  RequestClass& request_class(int number) { return classes.at(static_cast<std::size_t>(number)); }
+  RequestClass& request_class(int index) { return classes.at(static_cast<std::size_t>(index)); }
 
-  // An endpoint that comes back within its warm-up must be known, or its credit would be given twice; and by
-  // the longest timeout no request is left that has met it.
+  // An endpoint that is listed again within its warm-up must still be known, or it would get its initial
+  // credit twice. After the longest timeout no request refers to it any more.
   std::optional<EndpointId> forget_endpoint(Time now) {
     return endpoints.forget_one(now - slow_start.warmup() - longest_timeout);
   }
@@ -86,12 +88,12 @@
   modules_->canceller.configure(may_cancel);
 }
 
-void RequestPolicy::set_retry_budget(double free_retries, double share, Time window, Time latest_begin) {
-  modules_->retries.configure(free_retries, share, window, latest_begin);
+void RequestPolicy::set_retry_budget(double free_retries, double share, Time window, Time max_start_delay) {
+  modules_->retries.configure(free_retries, share, window, max_start_delay);
 }
 
-void RequestPolicy::set_retry_after(bool may_advise, Time longest) {
-  modules_->completion.configure(may_advise, longest);
+void RequestPolicy::set_retry_after(bool may_send_retry_after, Time longest) {
+  modules_->completion.configure(may_send_retry_after, longest);
 }
 
 void RequestPolicy::set_clients_mark_retries(bool mark_retries) {
@@ -120,11 +122,12 @@
   limited.latency_objective = objective;
   limited.min_response_share = min_share;
   modules_->latencies.set_objectives(modules_->classes);
-  modules_->requests.schedule_review_of_all();  // they have asked to be woken by the older objective's end
+  modules_->requests.schedule_review_of_all();  // their wake-ups were set for the old objective
 }
 
-void RequestPolicy::set_zone_limits(std::vector<ZoneLimit> zones, int step, double exploration_share) {
-  modules_->locality.configure(std::move(zones), step, exploration_share);
+void RequestPolicy::set_zone_limits(std::vector<ZoneLimit> zones, int remote_penalty,
+                                    double exploration_share) {
+  modules_->locality.configure(std::move(zones), remote_penalty, exploration_share);
 }
 
 void RequestPolicy::keep_in_region(int request_class, bool stays) {
@@ -150,17 +153,19 @@
 
 void RequestPolicy::list_failed(Time now) { modules_->discovery.list_failed(now, modules_->random); }
 
-void RequestPolicy::request_arrived(Time now, RequestId id, int request_class, float number,
+void RequestPolicy::request_arrived(Time now, RequestId id, int request_class, float correlation_id,
                                     bool is_client_retry, Time time_left) {
   if (request_class < 0 || request_class >= static_cast<int>(modules_->classes.size())) {
-    throw std::out_of_range("request of an unknown class");
+    throw std::out_of_range("request class " + std::to_string(request_class) + " is unknown, " +
+                            std::to_string(modules_->classes.size()) + " classes are configured");
   }
-  modules_->lifecycle.request_arrived(now, id, modules_->request_class(request_class), number,
+  modules_->lifecycle.request_arrived(now, id, modules_->request_class(request_class), correlation_id,
                                       is_client_retry, time_left);
 }
 
-void RequestPolicy::shard_request_arrived(Time now, RequestId id, float number, int shard, double weight) {
-  modules_->lifecycle.shard_request_arrived(now, id, number, shard, weight);
+void RequestPolicy::shard_request_arrived(Time now, RequestId id, float correlation_id, int shard,
+                                          double weight) {
+  modules_->lifecycle.shard_request_arrived(now, id, correlation_id, shard, weight);
 }
 
 void RequestPolicy::attempt_ended(Time now, RequestId shard_request, int attempt_index,
--- a/src/policy/request_policy.h
+++ b/src/policy/request_policy.h
@@ -1,34 +1,36 @@
-// Every choice of a request's life: whether it is admitted, which endpoints its shard requests are sent to,
-// when they are sent again, and how it is responded to. No I/O, no clock, no threads.
+// Makes every decision in the life of a request: whether it is admitted, to which endpoints its shard
+// requests are sent, when they are sent again, and how the request ends. It does no I/O, reads no clock and
+// starts no threads.
 //
-// Use: configure a RequestPolicy once; report inputs as they happen, each with the time it happened at; after
-// each batch of inputs carry out what next() returns, in that order, until it returns nothing. Inputs only
-// update what is known.
+// Use: configure a RequestPolicy once. Report each input when it happens, with its time. After each group
+// of inputs, call next() and carry out its actions in order until it returns nothing. Inputs only update
+// the state; all actions come from next().
 //
-// The rules, in the order in which next() asks them, each in the module of that name:
+// next() consults the modules in this order; each module has the name of its file:
 //
-//   discovery_refresh      asks for the endpoint list, and again after a failure
+//   discovery_refresh      subscribes to the endpoint list, again after a failure
 //   endpoint_table         forgets an endpoint that was removed long ago
 //
 // then, for each request whose state has changed or whose wake-up is due:
 //
-//   completion             responds as soon as enough weight is in; ends what can't be useful any more with
-//                          a partial response, a rejection or a failure; one final response for each
-//   admission_controller   on arrival: rejects what can't be in time
-//   shard_request_draw     on admission: draws as many shard requests as are required, and one more
-//   outlier_detector       marks overdue and stalled attempts; ejects endpoints that fail or are silent
-//   hedging                sends what is drawn, retries what never ran, hedges what is overdue:
-//     replica_selection      to the replica with the fewest of this broker's batches in flight
-//     attempt_guard          that every rule allows: deadlines, idempotency, readiness, and the limits in
+//   completion             responds as soon as the required weight has arrived; ends a request that can no
+//                          longer succeed with a partial response, a rejection or a failure
+//   admission_controller   on arrival: rejects a request that cannot be answered in time
+//   shard_request_draw     on admission: selects as many shard requests as are required, and one more
+//   outlier_detector       marks overdue and stalled attempts; ejects endpoints that fail or do not respond
+//   hedging                sends the selected shard requests, retries those that never ran, hedges overdue
+//                          ones; each attempt is subject to two modules:
+//     replica_selection      picks the replica with the fewest of this broker's batches in flight
+//     attempt_guard          checks deadlines, idempotency, readiness, and the limits of
 //                            slow_start_limiter, locality_router and retry_budget
 //   request_lifecycle      asks to be woken before anything about the request falls due
 //
 // and last:
 //
-//   attempt_canceller      cancels attempts that are needed no longer
+//   attempt_canceller      cancels attempts that are no longer needed
 //
-// deadline_policy tells when a response stops being useful, latency_estimator what is expected of an
-// endpoint. Constants and how to measure them: docs/capacity.md.
+// deadline_policy computes when a response stops being useful, and latency_estimator the expected latency
+// of an endpoint. docs/capacity.md explains the constants and how to measure them.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -54,73 +56,83 @@
 
   // ---- Configuration: once, before the first input; set_brokers first ----
 
-  // Brokers that share the endpoints, this one included.
+  // @param brokers number of brokers that share the endpoints, this one included
   void set_brokers(int brokers);
-  // Classes are numbered from 0 in the order in which they are added.
+  // Adds a class. Classes are numbered from 0 in the order in which they are added.
   void add_request_class(const RequestClass& request_class);
   // Shard s is held at the ring positions s .. s + replicas - 1, modulo ring_size.
   void set_layout(int ring_size, int replicas, int max_shard_requests_per_batch);
   // @param may_hedge  a shard request may have several attempts in flight
-  // @param may_cancel attempts that are needed no longer may be cancelled
+  // @param may_cancel attempts that are no longer needed may be cancelled
   void set_attempts(int max_attempts_per_shard_request, bool may_hedge, bool may_cancel);
-  // At most `free_retries` further attempts, and `share` of the arrivals, in each window. Not called: no such
-  // budget.
-  // @param latest_begin how long an attempt may wait for its connection before it begins
-  void set_retry_budget(double free_retries, double share, Time window, Time latest_begin = 0);
-  // Whether rejections may carry Retry-After, and its longest value.
-  void set_retry_after(bool may_advise, Time longest);
-  // Whether clients mark their retries.
+  // Limits further attempts in each window (nanoseconds) to `free_retries` plus `share` times the number of
+  // requests and shard requests that have arrived. Without this call there is no such limit.
+  // @param max_start_delay how long an attempt may wait for its connection before it starts
+  void set_retry_budget(double free_retries, double share, Time window, Time max_start_delay = 0);
+  // Sets whether rejections may carry a Retry-After, and its longest value (nanoseconds).
+  void set_retry_after(bool may_send_retry_after, Time longest);
+  // @param mark_retries whether clients mark their retries, so that is_client_retry can be relied on
   void set_clients_mark_retries(bool mark_retries);
-  // An endpoint's capacity rises from initial_share to 1 over `warmup` from its start, and it must not get
-  // more than overload_multiple times that over any overload_span.
+  // The share of its capacity that an endpoint can use rises from initial_share to 1 during `warmup` after
+  // its start. In no overload_span may the endpoint get more than overload_multiple times that capacity.
   void set_slow_start(double initial_share, Time warmup, double overload_multiple, Time overload_span);
-  // Whether changes of the endpoint list must be subscribed to, and the interval at which asking is owed, of
-  // which the backoff after a failure is a share. Silence is not noticed here: report it with list_failed().
+  // @param must_subscribe whether the policy asks to subscribe to changes of the endpoint list
+  // @param interval       how often the list is due; the backoff after a failure is a share of it
+  // The policy does not detect that the subscription is silent: the caller reports that with list_failed().
   void set_discovery(bool must_subscribe, Time interval);
-  // The shortest wake-up that makes sense, and by how much a response must come before the client's deadline.
+  // @param tick the shortest useful delay of a wake-up, and how long before its client's deadline a request
+  // ends
   void set_tick(Time tick);
 
   // ---- Limits that may change at any time ----
 
-  // Tightens a class, requests in flight included: its latency objective to at most, and its share of weight
-  // under which no response may be given to at least, these. kNever and 0: as configured.
+  // Makes the limits of a class stricter, also for requests in flight: the latency objective becomes at most
+  // max_latency_objective, and min_response_share at least the given share. kNever and 0 restore the
+  // configured values.
   void limit_request_class(int request_class, Time max_latency_objective, double min_response_share);
-  // Zones by number, this broker's own the first; none: locality counts for nothing. A replica elsewhere
-  // counts as if `step` more batches were in flight to it; the share `exploration_share` of the shard
-  // requests prefers a zone drawn at random.
-  void set_zone_limits(std::vector<ZoneLimit> zones, int step, double exploration_share);
+  // Replaces the limits of all zones, indexed by zone number; zone 0 is this broker's own. With no zones,
+  // locality is ignored.
+  // @param remote_penalty    batches added to the load of a replica in another zone
+  // @param exploration_share share of the shard requests that prefer a zone drawn at random
+  void set_zone_limits(std::vector<ZoneLimit> zones, int remote_penalty, double exploration_share);
+  // Keeps shard requests of the class out of zones in other regions.
   void keep_in_region(int request_class, bool stays);
-  // Nothing of the class goes to another zone but for shards that have lost all replicas in the own one.
+  // Keeps shard requests of the class in this broker's zone, except for shards that have lost all replicas
+  // there.
   void keep_in_zone(int request_class, bool stays);
 
   // ---- Inputs ----
 
   void start();
-  // The endpoint list: list_begins, list_endpoint for each entry, list_ends. What a complete list doesn't
-  // name is removed. @param started_at of the endpoint's process; 0: long past
+  // The endpoint list: list_begins(), list_endpoint() for each entry, list_ends(). Endpoints that a complete
+  // list does not name are removed.
+  // @param started_at start of the endpoint's process; 0 = long ago
   void list_begins(Time now, bool is_complete);
   void list_endpoint(EndpointId id, EndpointState state, Time started_at, int ring_position, int zone = 0);
   void list_ends();
+  // The list could not be fetched, or the subscription failed or fell silent.
   void list_failed(Time now);
 
-  // Report a request and all its shard requests, their weights adding up to 1, before the next call of
-  // next(): what is missing by then counts as lost. The same holds for the shard requests of a second step.
-  // @param number    what its shard requests name it by; unique among the requests that have not ended
-  // @param time_left the client's remaining wait
-  // @throws std::out_of_range where the class is unknown
-  void request_arrived(Time now, RequestId id, int request_class, float number, bool is_client_retry,
+  // Reports a request. All its shard requests must be reported before the next call of next(), with weights
+  // that add up to 1; weight that is missing by then counts as lost. The same holds for a second step.
+  // @param correlation_id unique among requests that have not ended; its shard requests carry it, too
+  // @param time_left      how long the client will still wait
+  // @throws std::out_of_range if the class is unknown
+  void request_arrived(Time now, RequestId id, int request_class, float correlation_id, bool is_client_retry,
                        Time time_left);
-  // Ignored where its request has ended; starts the second step where that is awaited.
-  void shard_request_arrived(Time now, RequestId id, float number, int shard, double weight);
-  // @param latency  from the attempt's begin
+  // Reports a shard request. It is ignored if its request has ended, and starts the second step if the
+  // request awaits one.
+  void shard_request_arrived(Time now, RequestId id, float correlation_id, int shard, double weight);
+  // @param latency  time since the attempt started
   // @param is_final no further attempt of the shard request may follow
   void attempt_ended(Time now, RequestId shard_request, int attempt_index, AttemptOutcome outcome,
                      Time latency, bool is_final, const LoadReport& load_report);
-  void request_abandoned(RequestId id);  // its client has gone
-  // Reports that the duration of a kWake is over.
+  // The client no longer waits for the request.
+  void request_abandoned(RequestId id);
+  // The duration of the kWake action with this token is over.
   void woken(std::uint64_t token);
 
-  // @return what to do next; nothing: report further inputs first.
+  // @return the next action to carry out; nothing until further inputs are reported
   std::optional<PolicyAction> next(Time now);
 
  private:
--- a/src/policy/request_table.cpp
+++ b/src/policy/request_table.cpp
@@ -5,7 +5,7 @@
 namespace cairnhub {
 
 void RequestTable::add(std::unique_ptr<Request> request) {
-  by_number_[request->number] = request.get();
+  by_correlation_id_[request->correlation_id] = request.get();
   schedule_review(*request);
   const RequestId id = request->id;
   requests_[id] = std::move(request);
@@ -22,9 +22,9 @@
   return found == requests_.end() ? nullptr : found->second.get();
 }
 
-Request* RequestTable::request_by_number(float number) const {
-  const auto found = by_number_.find(number);
-  return found == by_number_.end() ? nullptr : found->second;
+Request* RequestTable::request_by_correlation_id(float correlation_id) const {
+  const auto found = by_correlation_id_.find(correlation_id);
+  return found == by_correlation_id_.end() ? nullptr : found->second;
 }
 
 ShardRequest* RequestTable::shard_request(RequestId id) const {
@@ -39,7 +39,7 @@
 }
 
 void RequestTable::schedule_review_of_all() {
-  for (auto& [number, request] : by_number_) schedule_review(*request);
+  for (auto& [correlation_id, request] : by_correlation_id_) schedule_review(*request);
 }
 
 void RequestTable::finish_first_review() {
@@ -54,7 +54,7 @@
   for (auto& shard_request : request.shard_requests) {
     shard_request->is_closed = true;
   }
-  by_number_.erase(request.number);
+  by_correlation_id_.erase(request.correlation_id);
 }
 
 void RequestTable::forget_if_done(Request& request) {
--- a/src/policy/retry_budget.cpp
+++ b/src/policy/retry_budget.cpp
@@ -6,19 +6,19 @@
 
 namespace {
 
-constexpr double kHedgesPerFirstAttempt = 0.1;
-constexpr double kMaxSavedHedges = 16;
-constexpr double kInitialSavedHedges = kMaxSavedHedges / 4;
+constexpr double kTokensPerFirstAttempt = 0.1;
+constexpr double kMaxTokens = 16;
+constexpr double kInitialTokens = kMaxTokens / 4;
 
 }  // namespace
 
-RetryBudget::RetryBudget() : saved_hedges_(kInitialSavedHedges) {}
+RetryBudget::RetryBudget() : extra_attempt_tokens_(kInitialTokens) {}
 
-void RetryBudget::configure(double free_retries, double share, Time window, Time latest_begin) {
+void RetryBudget::configure(double free_retries, double share, Time window, Time max_start_delay) {
   free_retries_ = free_retries;
   share_ = share;
   window_ = window;
-  latest_begin_ = latest_begin;
+  max_start_delay_ = max_start_delay;
 }
 
 void RetryBudget::record_arrival(Time now) {
@@ -26,22 +26,24 @@
 }
 
 void RetryBudget::record_first_attempt() {
-  saved_hedges_ = std::min(kMaxSavedHedges, saved_hedges_ + kHedgesPerFirstAttempt);
+  extra_attempt_tokens_ = std::min(kMaxTokens, extra_attempt_tokens_ + kTokensPerFirstAttempt);
 }
 
 void RetryBudget::record_further_attempt(Time now) {
   if (window_ > 0) further_attempts_.push_back(now);
 }
 
-void RetryBudget::refund_hedge() { saved_hedges_ = std::min(kMaxSavedHedges, saved_hedges_ + 1); }
+void RetryBudget::refund_extra_attempt_token() {
+  extra_attempt_tokens_ = std::min(kMaxTokens, extra_attempt_tokens_ + 1);
+}
 
 bool RetryBudget::allows(Time now) {
   if (window_ <= 0) return true;
-  // Strict on both sides, so that no window in which attempts begin passes the budget: at the window's edge
-  // an arrival counts no longer and an attempt still does, for as much longer as it may wait for its
+  // No window in which attempts start may exceed the budget. So at the window's edge an arrival no longer
+  // counts but an attempt still does, and the attempt counts longer by the time that it may wait for its
   // connection.
   while (!arrivals_.empty() && arrivals_.front() <= now - window_) arrivals_.pop_front();
-  while (!further_attempts_.empty() && further_attempts_.front() + latest_begin_ < now - window_) {
+  while (!further_attempts_.empty() && further_attempts_.front() + max_start_delay_ < now - window_) {
     further_attempts_.pop_front();
   }
   const double attempts = static_cast<double>(further_attempts_.size()) + 1;
--- a/src/policy/shard_request_draw.cpp
+++ b/src/policy/shard_request_draw.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr int kMarginShardRequests = 1;
+constexpr int kMarginShardRequests = 1;  // sent beyond the required weight
 
 }  // namespace
 
@@ -26,11 +26,11 @@
     });
   }
   double selected_weight = 0;
-  int margin = kMarginShardRequests;
+  int margin_left = kMarginShardRequests;
   for (ShardRequest* shard_request : order) {
     if (selected_weight >= request.required_weight()) {
-      if (margin <= 0 || shard_request->expected_latency_s > slow_from_s) break;
-      --margin;
+      if (margin_left <= 0 || shard_request->expected_latency_s > slow_from_s) break;
+      --margin_left;
     }
     shard_request->is_selected = true;
     selected_weight += shard_request->weight;
--- a/src/policy/shard_request_draw.h
+++ b/src/policy/shard_request_draw.h
@@ -1,12 +1,13 @@
-// Selects which shard requests of an admitted request are sent.
+// Selects the shard requests of an admitted request that are sent at once.
 //
-// Decides: as many as make up the required weight, drawn at random, and one more; the others stay unsent
-// until hedging needs them. Those expected to be slow come last and are never the one more.
+// Decides: which shard requests are selected: as many as reach the required weight, drawn at random, and
+// one more. The others stay unsent until Hedging needs them. Shard requests with a high expected latency
+// are drawn last, and the additional one is never among them.
 //
-// Inputs: weights, the class's required share, expected latencies (seconds).
+// Inputs: weights, the required share of the class, and expected latencies (seconds).
 //
-// Why: one straggler would make the request late; and the additional one must not go to shards that have
-// no capacity to spare.
+// Why: without the additional shard request, one straggler would make the request late. It must not go to a
+// shard without spare capacity.
 #pragma once
 #include "policy/locality_router.h"
 #include "policy/request.h"
@@ -18,7 +19,8 @@
   ShardRequestDraw(const LocalityRouter& locality, RandomSource& random)
       : locality_(locality), random_(random) {}
 
-  // @param slow_from_s expected latency past which a shard request counts as slow
+  // Marks the selected shard requests.
+  // @param slow_from_s expected latency (seconds) above which a shard request counts as slow
   void select(Request& request, double slow_from_s);
 
  private:
--- a/src/policy/slow_start_limiter.cpp
+++ b/src/policy/slow_start_limiter.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-constexpr double kSafetyShare = 0.8;  // the rest is for shard requests heavier than the average
-constexpr double kMaxSavedAttempts = 4;
-constexpr int kResponseSpans = 4;  // overload spans over which responses are counted
+constexpr double kSafetyShare = 0.8;     // the rest allows for shard requests heavier than the average
+constexpr double kMaxSavedAttempts = 4;  // credit that an endpoint keeps
+constexpr int kResponseSpans = 4;        // responses are counted over this many overload spans
 
 }  // namespace
 
@@ -33,7 +33,8 @@
   if (!is_warming_up(endpoint, now)) return true;
   const double share =
       (capacity_share(endpoint, endpoint.slow_start_credit_at) + capacity_share(endpoint, now)) / 2;
-  // Whatever was measured, an endpoint does this many one by one, shared out among all brokers.
+  // The rate of an endpoint that runs shard requests one at a time, divided among all brokers. It holds even
+  // before any response was measured.
   const double min_rate = 1 / (brokers_ * seconds(longest_latency_));
   const double rate = std::max(best_response_rate_, min_rate);
   const double gained =
--- a/src/policy/slow_start_limiter.h
+++ b/src/policy/slow_start_limiter.h
@@ -1,14 +1,15 @@
-// Limits what is sent to an endpoint that has just started.
+// Limits the load on an endpoint that has just started.
 //
-// Decides: whether an endpoint that warms up may get an attempt.
+// Decides: whether an endpoint that is warming up may get an attempt.
 //
-// Inputs: its start time, the slow-start settings, good responses of all endpoints. An attempt takes one
-// of the endpoint's credits; they gather at the best rate that the average endpoint has responded to this
-// broker, times the endpoint's present share of its capacity.
+// Inputs: the endpoint's start time, the slow-start settings, and the successful responses of all
+// endpoints. An attempt spends one credit of its endpoint. Credit accrues at the highest response rate that
+// this broker has seen from the average endpoint, times the share of its capacity that the endpoint has
+// reached.
 //
-// Why: all brokers together would overload a cold server. Responses are surely within the servers'
-// capacity and add up over the brokers, so that none needs to know of the others; and the best rate is
-// kept, as a limit that fell with the traffic after many failures would never let it recover.
+// Why: all brokers together would overload a cold server. The response rates of all brokers add up to no
+// more than the servers' capacity, so brokers need not know of each other. The highest rate is kept,
+// because a limit that fell with the traffic after many failures would never let it recover.
 #pragma once
 #include <algorithm>
 
@@ -24,12 +25,13 @@
   void set_brokers(int brokers) { brokers_ = brokers; }
 
   Time warmup() const { return warmup_; }
-  // Of the endpoint's full capacity, 0 to 1.
+  // Returns the share of its full capacity that the endpoint has reached, 0 to 1.
   double capacity_share(const Endpoint& endpoint, Time now) const;
 
-  // The credit of a newly started endpoint is drawn, so that not all brokers send a first attempt at once.
+  // Gives a newly started endpoint its initial credit. Part of it is random, so that not all brokers send a
+  // first attempt at once.
   void endpoint_started(Endpoint& endpoint, Time now, RandomSource& random) const;
-  // Brings the endpoint's credit up to date.
+  // Whether the endpoint may get an attempt now. Also updates the endpoint's credit.
   bool allows(Endpoint& endpoint, Time now) const;
   void record_attempt(Endpoint& endpoint, Time now) const;
   void record_response(Endpoint& endpoint, Time now, EndpointTable& endpoints);
@@ -42,7 +44,7 @@
 
   double initial_share_ = 1;
   double overload_multiple_ = 1;
-  double best_response_rate_ = 0;  // per second, of the average endpoint, to this broker
+  double best_response_rate_ = 0;  // responses per second from the average endpoint to this broker
   double brokers_ = 1;
   Time warmup_ = 0;
   Time overload_span_ = kSecond;
