--- a/tests/slow_start.cpp
+++ b/tests/slow_start.cpp
@@ -1,11 +1,11 @@
-// What all brokers together send to a server in slow start, held against the rule's bound. A seeded world
-// without sockets: brokers that share nothing, each with a RequestPolicy of its own; servers that do calls
-// side by side and queue the others; Poisson arrivals, unequal over brokers and in work; part of the brokers
-// restarted while a server is cold. On odd seeds a burst comes as the server does, on even ones it follows a
-// lull in which brokers save up credit.
-//   slow_start BROKERS SEEDS         prints the worst sum over all seeds; exit 1 where the bound is passed
-//   slow_start BROKERS SEEDS without the same, the brokers not told of slow start; exit 1 where the bound is
-//   kept
+// Checks that all brokers together do not overload a server in slow start. The simulation has no sockets:
+// each broker has its own RequestPolicy and they share nothing; servers run a few attempts in parallel and
+// queue the others. Arrivals are Poisson, with unequal rates per broker and unequal work, and some brokers
+// restart while a server is cold. With odd seeds a burst arrives as the server starts; with even seeds the
+// burst follows a lull in which brokers save up credit.
+//   slow_start BROKERS SEEDS         prints the highest load over all seeds; exit 1 if it exceeds the bound
+//   slow_start BROKERS SEEDS without the same with brokers that do not limit slow starts; exit 1 if the load
+//                                    stays within the bound
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -25,234 +25,277 @@
 namespace {
 
 constexpr Time kMs = kSecond / 1000;
-constexpr int kServers = 6, kReplicas = 3, kLanes = 4;
-constexpr Time kMeanWork = 300 * kMs;  // of a call; four lanes at once make 13 calls a second
-constexpr Time kWarmAfter = 12 * kSecond, kFallSpan = 2 * kSecond;
-constexpr double kColdFrom = 0.2, kFallMultiple = 2;
-constexpr Time kColdAt = 20 * kSecond, kEnd = kColdAt + kWarmAfter + 2 * kSecond;
-constexpr Time kListed = 300 * kMs;  // from a server's start until brokers are told
+constexpr int kServers = 6;
+constexpr int kReplicas = 3;
+constexpr int kWorkersPerServer = 4;
+constexpr Time kMeanServiceTime = 300 * kMs;  // with four workers: 13 attempts per second
+constexpr Time kWarmup = 12 * kSecond;
+constexpr Time kOverloadSpan = 2 * kSecond;
+constexpr double kInitialShare = 0.2;
+constexpr double kOverloadMultiple = 2;
+constexpr Time kRestartAt = 20 * kSecond;  // the start of server 0 that is measured
+constexpr Time kEnd = kRestartAt + kWarmup + 2 * kSecond;
+constexpr Time kListDelay = 300 * kMs;  // from a server's start until the brokers learn of it
 
-double share_at(Time at) {
-  if (at < kColdAt) return 0;
-  return std::min(1.0, kColdFrom + (1 - kColdFrom) * seconds(at - kColdAt) / seconds(kWarmAfter));
+// Share of its capacity that server 0 has after its restart.
+double capacity_share(Time at) {
+  if (at < kRestartAt) return 0;
+  return std::min(1.0, kInitialShare + (1 - kInitialShare) * seconds(at - kRestartAt) / seconds(kWarmup));
 }
 
-// Calls that the rule allows the cold server in the span that begins then.
-double allowed(Time from) {
+// Returns the number of attempts that the slow-start rule allows server 0 in the overload span that begins at
+// `from`.
+double allowed_attempts(Time from) {
   double share = 0;
-  constexpr int kSteps = 20;
-  for (int i = 0; i < kSteps; ++i) share += share_at(from + kFallSpan * i / kSteps) / kSteps;
-  return kFallMultiple * share * kLanes / seconds(kMeanWork) * seconds(kFallSpan);
+  constexpr int kSamples = 20;
+  for (int i = 0; i < kSamples; ++i) {
+    share += capacity_share(from + kOverloadSpan * i / kSamples) / kSamples;
+  }
+  return kOverloadMultiple * share * kWorkersPerServer / seconds(kMeanServiceTime) * seconds(kOverloadSpan);
 }
-double bound(double calls) {
-  return calls < 30 ? calls + 3 * std::sqrt(calls) + 3 : calls + 2 * std::sqrt(calls) + 2;
+// Adds the random variation that the check accepts: 3 standard deviations for few attempts, otherwise 2.
+double bound(double attempts) {
+  return attempts < 30 ? attempts + 3 * std::sqrt(attempts) + 3 : attempts + 2 * std::sqrt(attempts) + 2;
 }
 
-struct World {
+struct Simulation {
   struct Attempt {
     int broker;
-    int life;
-    RequestId part;
+    int broker_start_count;
+    RequestId shard_request;
     int index;
-    Time sent;
-    double work;  // of the mean
+    Time sent_at;
+    double work;  // as a multiple of the mean
   };
   struct Server {
     std::deque<Attempt> queue;
-    int busy = 0;
-    bool up = true;
-    int life = 0;
+    int busy_workers = 0;
+    bool is_up = true;
+    int crash_count = 0;
   };
   struct Event {
     Time at;
     std::uint64_t order;
-    std::function<void()> what;
-    bool operator<(const Event& o) const { return std::pair(at, order) > std::pair(o.at, o.order); }
+    std::function<void()> run;
+    bool operator<(const Event& other) const {
+      return std::pair(at, order) > std::pair(other.at, other.order);
+    }
   };
   struct Broker {
     std::unique_ptr<RequestPolicy> policy;
-    int life = 0;
-    double share = 1;
-    RequestId last = 0;
-    std::map<RequestId, int> attempts;
+    int start_count = 0;
+    double traffic_share = 1;
+    RequestId last_request = 0;
+    std::map<RequestId, int> attempt_counts;  // by shard request
   };
 
   std::mt19937_64 random;
   double load;
-  bool limited, lull;
+  bool limits_slow_start;
+  bool has_lull;
   std::vector<Broker> brokers;
   std::vector<Server> servers{kServers};
   std::priority_queue<Event> events;
-  std::uint64_t order = 0;
+  std::uint64_t event_count = 0;
   Time now = 0;
-  std::vector<std::pair<Time, double>> cold_calls;  // and their work
+  std::vector<std::pair<Time, double>> cold_attempts;  // sent to server 0 after its restart: time and work
 
   double unit() { return std::uniform_real_distribution<>(0, 1)(random); }
-  void after(Time span, std::function<void()> what) { events.push({now + span, order++, std::move(what)}); }
+  void schedule(Time delay, std::function<void()> run) {
+    events.push({now + delay, event_count++, std::move(run)});
+  }
 
-  World(int count, std::uint64_t seed, bool limit)
-      : random(seed), load(0.3 + 0.7 * unit()), limited(limit), lull(seed % 2 == 0) {
+  Simulation(int broker_count, std::uint64_t seed, bool should_limit)
+      : random(seed), load(0.3 + 0.7 * unit()), limits_slow_start(should_limit), has_lull(seed % 2 == 0) {
     double sum = 0;
-    for (int i = 0; i < count; ++i) {
+    for (int i = 0; i < broker_count; ++i) {
       brokers.emplace_back();
-      // Some see several times the mean.
-      sum += brokers.back().share = std::exp(std::normal_distribution<>(0, 0.8)(random));
+      // Some brokers get several times the mean traffic.
+      brokers.back().traffic_share = std::exp(std::normal_distribution<>(0, 0.8)(random));
+      sum += brokers.back().traffic_share;
     }
-    for (int i = 0; i < count; ++i) {
-      brokers[static_cast<std::size_t>(i)].share /= sum;
-      start(i);
-      arrive(i);
+    for (int i = 0; i < broker_count; ++i) {
+      brokers[static_cast<std::size_t>(i)].traffic_share /= sum;
+      start_broker(i);
+      schedule_request(i);
     }
-    after(kColdAt - 3 * kSecond, [this] { crash(0); });
-    after(kColdAt, [this] { servers[0].up = true; });
-    after(kColdAt + kListed, [this] {
-      for (auto& b : brokers) list(b);
-      for (std::size_t i = 0; i < brokers.size(); ++i) pull(static_cast<int>(i));
+    schedule(kRestartAt - 3 * kSecond, [this] { crash(0); });
+    schedule(kRestartAt, [this] { servers[0].is_up = true; });
+    schedule(kRestartAt + kListDelay, [this] {
+      for (auto& broker : brokers) list_all(broker);
+      for (std::size_t i = 0; i < brokers.size(); ++i) carry_out_actions(static_cast<int>(i));
     });
-    // Part of the brokers are restarted while it is cold: one at least, all of them on some seeds.
-    const double restarted = unit() < 0.3 ? 1 : unit();
-    const Time when = kColdAt + kListed + static_cast<Time>(unit() * static_cast<double>(kWarmAfter) / 2);
-    for (int i = 0; i < count; ++i)
-      if (i == 0 || unit() < restarted) after(when, [this, i] { start(i), pull(i); });
+    // Some brokers restart while the server is cold: at least one, with some seeds all of them.
+    const double restarted_share = unit() < 0.3 ? 1 : unit();
+    const Time restart_at =
+        kRestartAt + kListDelay + static_cast<Time>(unit() * static_cast<double>(kWarmup) / 2);
+    for (int i = 0; i < broker_count; ++i) {
+      if (i != 0 && unit() >= restarted_share) continue;
+      schedule(restart_at, [this, i] {
+        start_broker(i);
+        carry_out_actions(i);
+      });
+    }
   }
 
-  void start(int i) {
-    Broker& b = brokers[static_cast<std::size_t>(i)];
-    ++b.life;
-    b.attempts.clear();
-    b.policy = std::make_unique<RequestPolicy>(random());
-    RequestPolicy& d = *b.policy;
-    d.set_brokers(static_cast<int>(brokers.size()));
-    RequestClass op;
-    op.latency_objective = 1500 * kMs, op.request_timeout = 4 * kSecond, op.late_value_share = 0.3;
-    op.required_share = op.min_response_share = 0.67;
-    d.add_request_class(op);
-    d.set_layout(kServers, kReplicas, 1);
-    d.set_attempts(3, true, true);
-    d.set_retry_after(true, 500 * kMs);
-    d.set_tick(5 * kMs);
-    if (limited) d.set_slow_start(kColdFrom, kWarmAfter, kFallMultiple, kFallSpan);
-    d.start();
-    list(b);
+  void start_broker(int index) {
+    Broker& broker = brokers[static_cast<std::size_t>(index)];
+    ++broker.start_count;
+    broker.attempt_counts.clear();
+    broker.policy = std::make_unique<RequestPolicy>(random());
+    RequestPolicy& policy = *broker.policy;
+    policy.set_brokers(static_cast<int>(brokers.size()));
+    RequestClass request_class;
+    request_class.latency_objective = 1500 * kMs;
+    request_class.request_timeout = 4 * kSecond;
+    request_class.late_value_share = 0.3;
+    request_class.required_share = 0.67;
+    request_class.min_response_share = 0.67;
+    policy.add_request_class(request_class);
+    policy.set_layout(kServers, kReplicas, 1);
+    policy.set_attempts(3, true, true);
+    policy.set_retry_after(true, 500 * kMs);
+    policy.set_tick(5 * kMs);
+    if (limits_slow_start) {
+      policy.set_slow_start(kInitialShare, kWarmup, kOverloadMultiple, kOverloadSpan);
+    }
+    policy.start();
+    list_all(broker);
   }
-  void list(Broker& b) {
-    const bool back = now >= kColdAt + kListed;
-    b.policy->list_begins(now, true);
-    for (int s = 0; s < kServers; ++s)
-      b.policy->list_endpoint(static_cast<EndpointId>(s) + 1,
-                              s == 0 && now > 0 && !back ? EndpointState::kRemoved : EndpointState::kReady,
-                              s == 0 && back ? kColdAt : 0, s);
-    b.policy->list_ends();
+  void list_all(Broker& broker) {
+    const bool is_restarted = now >= kRestartAt + kListDelay;
+    broker.policy->list_begins(now, true);
+    for (int i = 0; i < kServers; ++i) {
+      const bool is_removed = i == 0 && now > 0 && !is_restarted;
+      broker.policy->list_endpoint(static_cast<EndpointId>(i) + 1,
+                                   is_removed ? EndpointState::kRemoved : EndpointState::kReady,
+                                   i == 0 && is_restarted ? kRestartAt : 0, i);
+    }
+    broker.policy->list_ends();
   }
 
-  // Capacity in calls a second of the whole fleet, over the parts that a query draws: five of six and one
-  // spare.
-  void arrive(int i) {
-    const double queries = load * traffic() * kServers * kLanes / seconds(kMeanWork) / 5;
-    const double rate = queries * brokers[static_cast<std::size_t>(i)].share;
-    const double wait = std::exponential_distribution<>(rate)(random);
-    after(static_cast<Time>(std::min(wait, 1e3) * kSecond), [this, i] {
-      ask(i);
-      arrive(i);
+  // At a load of 1, the required five of each request's six shard requests use the capacity of all servers.
+  void schedule_request(int broker) {
+    const double requests_per_second =
+        load * traffic() * kServers * kWorkersPerServer / seconds(kMeanServiceTime) / 5;
+    const double rate = requests_per_second * brokers[static_cast<std::size_t>(broker)].traffic_share;
+    const double delay_s = std::exponential_distribution<>(rate)(random);
+    schedule(static_cast<Time>(std::min(delay_s, 1e3) * kSecond), [this, broker] {
+      request_arrives(broker);
+      schedule_request(broker);
     });
   }
-  // Of the usual rate.
+  // Returns the present request rate as a multiple of the usual one.
   double traffic() const {
-    if (now < kColdAt || now > kColdAt + 9 * kSecond) return 1;
-    if (now < kColdAt + 5 * kSecond) return lull ? 0.1 : 1.5;
-    return lull ? 2.5 : 1;
+    if (now < kRestartAt || now > kRestartAt + 9 * kSecond) return 1;
+    if (now < kRestartAt + 5 * kSecond) return has_lull ? 0.1 : 1.5;
+    return has_lull ? 2.5 : 1;
   }
-  void ask(int i) {
-    Broker& b = brokers[static_cast<std::size_t>(i)];
-    const RequestId id = b.last += 10;
-    const float number = static_cast<float>(id / 10 % (1 << 20));
-    b.policy->request_arrived(now, id, 0, number, false, 4 * kSecond);
-    for (int s = 0; s < kServers; ++s)
-      b.policy->shard_request_arrived(now, id + 1 + static_cast<RequestId>(s), number, s, 1.0 / kServers);
-    pull(i);
+  void request_arrives(int index) {
+    Broker& broker = brokers[static_cast<std::size_t>(index)];
+    broker.last_request += 10;
+    const RequestId id = broker.last_request;
+    const float correlation_id = static_cast<float>(id / 10 % (1 << 20));
+    broker.policy->request_arrived(now, id, 0, correlation_id, false, 4 * kSecond);
+    for (int shard = 0; shard < kServers; ++shard) {
+      broker.policy->shard_request_arrived(now, id + 1 + static_cast<RequestId>(shard), correlation_id, shard,
+                                           1.0 / kServers);
+    }
+    carry_out_actions(index);
   }
-  void pull(int i) {
-    Broker& b = brokers[static_cast<std::size_t>(i)];
-    while (const auto d = b.policy->next(now)) {
-      if (d->kind == PolicyAction::Kind::kSendAttempt) {
-        send(i, *d);
-      } else if (d->kind == PolicyAction::Kind::kWake) {
-        after(d->duration, [this, i, life = b.life, token = d->token] {
-          Broker& mine = brokers[static_cast<std::size_t>(i)];
-          if (mine.life != life) return;
-          mine.policy->woken(token);
-          pull(i);
+  void carry_out_actions(int index) {
+    Broker& broker = brokers[static_cast<std::size_t>(index)];
+    while (const auto action = broker.policy->next(now)) {
+      if (action->kind == PolicyAction::Kind::kSendAttempt) {
+        send(index, *action);
+      } else if (action->kind == PolicyAction::Kind::kWake) {
+        schedule(action->duration, [this, index, start_count = broker.start_count, token = action->token] {
+          Broker& woken = brokers[static_cast<std::size_t>(index)];
+          if (woken.start_count != start_count) return;
+          woken.policy->woken(token);
+          carry_out_actions(index);
         });
       }
     }
   }
-  void send(int i, const PolicyAction& d) {
-    Broker& b = brokers[static_cast<std::size_t>(i)];
-    const int index = b.attempts[d.request]++;
-    const double work = std::exp(std::normal_distribution<>(-0.08, 0.4)(random));  // mean 1, unequal
-    const Attempt attempt{i, b.life, d.request, index, now, work};
-    const std::size_t at = static_cast<std::size_t>(d.endpoint - 1);
-    if (at == 0 && now >= kColdAt) cold_calls.emplace_back(now, work);
-    Server& s = servers[at];
-    if (!s.up) return after(kMs, [this, attempt] { ended(attempt, AttemptOutcome::kConnectFailed); });
-    s.queue.push_back(attempt);
-    serve(at);
+  void send(int broker_index, const PolicyAction& action) {
+    Broker& broker = brokers[static_cast<std::size_t>(broker_index)];
+    const int index = broker.attempt_counts[action.request]++;
+    const double work = std::exp(std::normal_distribution<>(-0.08, 0.4)(random));  // mean 1
+    const Attempt attempt{broker_index, broker.start_count, action.request, index, now, work};
+    const std::size_t server_index = static_cast<std::size_t>(action.endpoint - 1);
+    if (server_index == 0 && now >= kRestartAt) cold_attempts.emplace_back(now, work);
+    Server& server = servers[server_index];
+    if (!server.is_up) {
+      return schedule(kMs, [this, attempt] { end_attempt(attempt, AttemptOutcome::kConnectFailed); });
+    }
+    server.queue.push_back(attempt);
+    serve(server_index);
   }
-  void serve(std::size_t at) {
-    Server& s = servers[at];
-    while (s.busy < kLanes && !s.queue.empty()) {
-      const Attempt a = s.queue.front();
-      s.queue.pop_front();
-      ++s.busy;
-      const double speed = at == 0 && now >= kColdAt ? share_at(now) : 1;
-      after(static_cast<Time>(a.work / speed * static_cast<double>(kMeanWork)), [this, at, a, life = s.life] {
-        if (servers[at].life != life) return;
-        --servers[at].busy;
-        ended(a, AttemptOutcome::kOk);
-        serve(at);
+  void serve(std::size_t index) {
+    Server& server = servers[index];
+    while (server.busy_workers < kWorkersPerServer && !server.queue.empty()) {
+      const Attempt attempt = server.queue.front();
+      server.queue.pop_front();
+      ++server.busy_workers;
+      const double speed = index == 0 && now >= kRestartAt ? capacity_share(now) : 1;
+      const Time service_time =
+          static_cast<Time>(attempt.work / speed * static_cast<double>(kMeanServiceTime));
+      schedule(service_time, [this, index, attempt, crash_count = server.crash_count] {
+        if (servers[index].crash_count != crash_count) return;
+        --servers[index].busy_workers;
+        end_attempt(attempt, AttemptOutcome::kOk);
+        serve(index);
       });
     }
   }
-  void crash(std::size_t at) {
-    Server& s = servers[at];
-    s.up = false, s.busy = 0, ++s.life;
-    for (const Attempt& a : std::exchange(s.queue, {})) ended(a, AttemptOutcome::kReset);
+  void crash(std::size_t index) {
+    Server& server = servers[index];
+    server.is_up = false;
+    server.busy_workers = 0;
+    ++server.crash_count;
+    for (const Attempt& attempt : std::exchange(server.queue, {})) {
+      end_attempt(attempt, AttemptOutcome::kReset);
+    }
     for (std::size_t i = 0; i < brokers.size(); ++i) {
-      list_gone(brokers[i]);
-      pull(static_cast<int>(i));
+      list_removal(brokers[i]);
+      carry_out_actions(static_cast<int>(i));
     }
   }
-  void list_gone(Broker& b) {
-    b.policy->list_begins(now, false);
-    b.policy->list_endpoint(1, EndpointState::kRemoved, 0, 0);
-    b.policy->list_ends();
+  void list_removal(Broker& broker) {
+    broker.policy->list_begins(now, false);
+    broker.policy->list_endpoint(1, EndpointState::kRemoved, 0, 0);
+    broker.policy->list_ends();
   }
-  void ended(const Attempt& a, AttemptOutcome how) {
-    Broker& b = brokers[static_cast<std::size_t>(a.broker)];
-    if (b.life != a.life) return;
-    b.policy->attempt_ended(now, a.part, a.index, how, now - a.sent, how == AttemptOutcome::kOk, {});
-    pull(a.broker);
+  void end_attempt(const Attempt& attempt, AttemptOutcome outcome) {
+    Broker& broker = brokers[static_cast<std::size_t>(attempt.broker)];
+    if (broker.start_count != attempt.broker_start_count) return;
+    broker.policy->attempt_ended(now, attempt.shard_request, attempt.index, outcome, now - attempt.sent_at,
+                                 outcome == AttemptOutcome::kOk, {});
+    carry_out_actions(attempt.broker);
   }
   void run() {
     while (!events.empty() && events.top().at <= kEnd) {
-      const Event e = events.top();
+      const Event event = events.top();
       events.pop();
-      now = e.at;
-      e.what();
+      now = event.at;
+      event.run();
     }
   }
-  // The most that any span came to, as a share of the bound on it; by calls and by work.
-  double worst() const {
-    double most = 0;
-    for (std::size_t first = 0; first < cold_calls.size(); ++first) {
+  // Returns the highest work sent to the cold server in any overload span, as a share of the bound.
+  double max_bound_share() const {
+    double max_share = 0;
+    for (std::size_t first = 0; first < cold_attempts.size(); ++first) {
       double work = 0;
-      const Time from = cold_calls[first].first;
-      if (from >= kColdAt + kWarmAfter) break;
-      for (std::size_t i = first; i < cold_calls.size() && cold_calls[i].first < from + kFallSpan; ++i)
-        work += cold_calls[i].second;
-      most = std::max(most, work / bound(allowed(from)));
+      const Time from = cold_attempts[first].first;
+      if (from >= kRestartAt + kWarmup) break;
+      for (std::size_t i = first; i < cold_attempts.size(); ++i) {
+        if (cold_attempts[i].first >= from + kOverloadSpan) break;
+        work += cold_attempts[i].second;
+      }
+      max_share = std::max(max_share, work / bound(allowed_attempts(from)));
     }
-    return most;
+    return max_share;
   }
 };
 
@@ -261,18 +304,23 @@
 
 int main(int argc, char** argv) {
   if (argc != 3 && argc != 4) return 2;
-  const int brokers = std::atoi(argv[1]), seeds = std::atoi(argv[2]);
-  const bool limited = argc == 3;
-  double worst = 0;
-  int worst_seed = 0, passed = 0;
+  const int brokers = std::atoi(argv[1]);
+  const int seeds = std::atoi(argv[2]);
+  const bool limits_slow_start = argc == 3;
+  double max_share = 0;
+  int max_share_seed = 0;
+  int seeds_past_bound = 0;
   for (int seed = 1; seed <= seeds; ++seed) {
-    cairnhub::World world(brokers, static_cast<std::uint64_t>(seed), limited);
-    world.run();
-    const double most = world.worst();
-    passed += most > 1;
-    if (most > worst) worst = most, worst_seed = seed;
+    cairnhub::Simulation simulation(brokers, static_cast<std::uint64_t>(seed), limits_slow_start);
+    simulation.run();
+    const double share = simulation.max_bound_share();
+    seeds_past_bound += share > 1;
+    if (share > max_share) {
+      max_share = share;
+      max_share_seed = seed;
+    }
   }
   std::printf("%d brokers, %d seeds: at most %.2f of the bound (seed %d); past it on %d\n", brokers, seeds,
-              worst, worst_seed, passed);
-  return limited == (passed > 0);
+              max_share, max_share_seed, seeds_past_bound);
+  return limits_slow_start == (seeds_past_bound > 0);
 }
--- a/tests/traces.cpp
+++ b/tests/traces.cpp
@@ -1,4 +1,5 @@
-// One small story each; CTest diffs what it prints with tests/traces/NAME.txt.
+// Runs one scenario of the request policy by name: traces NAME. CTest compares the output with
+// tests/traces/NAME.txt.
 #include <cstring>
 #include <functional>
 
@@ -8,402 +9,457 @@
 namespace cairnhub {
 namespace {
 
-void any_k() {  // n = 2 of 4: three drawn, one unsent, answered on the first two, the late surplus cancelled
-  Story s(Story::op(0.5), 4, 2);
-  s.nodes(4);
-  s.ask(1, {0, 1, 2, 3});
-  s.now = 100 * kMs;
-  for (RequestId part = 10; part < 14; ++part)
-    if (s.sends[part]) s.back(part, AttemptOutcome::kOk);
-}
-
-void fewest_out() {  // three parts of one shard: 1 and 1, then either; the node that answered gets the next
-  Story s(Story::op(), 2, 2);
-  s.nodes(2);
-  s.ask(1, {0});
-  s.ask(2, {0});
-  s.ask(3, {0});
-  s.now = 100 * kMs;
-  s.back(10, AttemptOutcome::kOk);
-  s.back(20, AttemptOutcome::kOk);
-  s.ask(4, {0});
-}
-
-void shared_calls() {  // two parts a call: the second joins the first's, the third opens one at the other
-                       // node
-  Story s(Story::op(), 2, 2, 2);
-  s.nodes(2);
-  s.ask(1, {0, 0, 0});
-}
-
-void no_outcome_ever() {  // rule 1: nothing ever comes back; ended before the client's 1500 ms, nothing sent
-                          // after
-  Story s(Story::op(), 2, 2);
-  s.nodes(2);
-  s.ask(1, {0}, 1500 * kMs);
-  s.run_to(3000);
-}
-
-void early_wake() {  // rule 1: a wake-up that comes 1 ns early, by a clock's rounding, is asked for again
-  Story s(Story::op(), 2, 2);
-  s.nodes(2);
-  s.ask(1, {0}, 300 * kMs);
+// Two of four shard requests are required: three are selected and one stays unsent. The request completes
+// with the first two responses, and the attempt still in flight is cancelled.
+void any_k() {
+  Scenario scenario(Scenario::request_class(0.5), 4, 2);
+  scenario.list_endpoints(4);
+  scenario.request_arrives(1, {0, 1, 2, 3});
+  scenario.now = 100 * kMs;
+  for (RequestId shard_request = 10; shard_request < 14; ++shard_request) {
+    if (scenario.attempt_counts[shard_request]) scenario.attempt_ends(shard_request, AttemptOutcome::kOk);
+  }
+}
+
+// Three shard requests of one shard go to the replicas with the fewest batches in flight; a tie is broken at
+// random. The endpoint whose attempts have ended gets the next one.
+void fewest_out() {
+  Scenario scenario(Scenario::request_class(), 2, 2);
+  scenario.list_endpoints(2);
+  scenario.request_arrives(1, {0});
+  scenario.request_arrives(2, {0});
+  scenario.request_arrives(3, {0});
+  scenario.now = 100 * kMs;
+  scenario.attempt_ends(10, AttemptOutcome::kOk);
+  scenario.attempt_ends(20, AttemptOutcome::kOk);
+  scenario.request_arrives(4, {0});
+}
+
+// With two shard requests per batch, the second joins the batch of the first, and the third opens a batch at
+// the other endpoint.
+void shared_calls() {
+  Scenario scenario(Scenario::request_class(), 2, 2, 2);
+  scenario.list_endpoints(2);
+  scenario.request_arrives(1, {0, 0, 0});
+}
+
+// No attempt ever ends. The request must end before its client's deadline at 1500 ms, and nothing may be
+// sent after that.
+void no_outcome_ever() {
+  Scenario scenario(Scenario::request_class(), 2, 2);
+  scenario.list_endpoints(2);
+  scenario.request_arrives(1, {0}, 1500 * kMs);
+  scenario.run_until(3000);
+}
+
+// A wake-up that comes 1 ns early, through rounding of a clock, must be requested again.
+void early_wake() {
+  Scenario scenario(Scenario::request_class(), 2, 2);
+  scenario.list_endpoints(2);
+  scenario.request_arrives(1, {0}, 300 * kMs);
   for (Time early : {1, 0}) {
-    if (s.wakes.empty()) return;
-    s.now = s.wakes.rbegin()->first - early;
-    s.wakes.clear();
-    s.d.woken(1);
-    s.pull();
+    if (scenario.wake_ups.empty()) return;
+    scenario.now = scenario.wake_ups.rbegin()->first - early;
+    scenario.wake_ups.clear();
+    scenario.policy.woken(1);
+    scenario.print_actions();
   }
 }
 
-void non_retriable() {  // rule 2: re-sent after proof; not after a reset, and then failed, not pushed back
-  Story s(Story::op(1, Idempotency::kAtMostOnce), 2, 2);
-  s.nodes(2);
-  s.ask(1, {0});
-  s.now = 50 * kMs;
-  s.back(10, AttemptOutcome::kConnectFailed);
-  s.now = 100 * kMs;
-  s.back(10, AttemptOutcome::kReset);
-  s.ask(2, {0});  // each send proved never to have run: pushed back
-  s.back(20, AttemptOutcome::kQueueFull);
-  s.back(20, AttemptOutcome::kQueueFull);
-  s.run_to(4000);
-}
-
-void deduped() {  // rule 2: a reset part is re-sent inside the 500 ms window, not past it
-  Story s(Story::op(1, Idempotency::kDeduplicated), 2, 2);
-  s.nodes(2);
-  s.ask(1, {0});
-  s.now = 500 * kMs;
-  s.back(10, AttemptOutcome::kReset);
-  s.now = 510 * kMs;
-  s.back(10, AttemptOutcome::kError);
-  s.run_to(3500);
-}
-
-void drain() {  // rule 3: nothing new to a draining node; ready again, it is used again
-  Story s(Story::op(), 2, 2);
-  s.nodes(2);
-  s.change(1, EndpointState::kDraining);
-  s.ask(1, {0, 0, 0});
-  s.change(2, EndpointState::kRemoved);
-  s.ask(2, {0}, 100 * kMs);
-  s.run_to(200);
-  s.change(1, EndpointState::kReady);
-  s.ask(3, {0});
-}
-
-// Tells of a multiget with one part, id + 1, at shard 0: whether the part is sent at once.
-bool sent_at_once(RequestPolicy& d, Time now, RequestId id, Time left) {
-  d.request_arrived(now, id, 0, static_cast<float>(id), false, left);
-  d.shard_request_arrived(now, id + 1, static_cast<float>(id), 0, 1);
-  const auto x = d.next(now);
-  return x && x->kind == PolicyAction::Kind::kSendAttempt;
-}
-
-void cold_cap() {  // rule 4: the only replica has just started: a part now and then, more as it warms
-  Story s(Story::op(), 1, 1);
-  s.now = kSecond;
-  s.nodes(1, kSecond);
-  std::string sent;  // of four asked each second
+// An at-most-once class is sent again only after proof that the attempt never ran. After a reset the request
+// fails and is not rejected, as a rejection invites the client to retry. Request 2 is rejected, because no
+// attempt of it ran.
+void non_retriable() {
+  Scenario scenario(Scenario::request_class(1, Idempotency::kAtMostOnce), 2, 2);
+  scenario.list_endpoints(2);
+  scenario.request_arrives(1, {0});
+  scenario.now = 50 * kMs;
+  scenario.attempt_ends(10, AttemptOutcome::kConnectFailed);
+  scenario.now = 100 * kMs;
+  scenario.attempt_ends(10, AttemptOutcome::kReset);
+  scenario.request_arrives(2, {0});
+  scenario.attempt_ends(20, AttemptOutcome::kQueueFull);
+  scenario.attempt_ends(20, AttemptOutcome::kQueueFull);
+  scenario.run_until(4000);
+}
+
+// A deduplicated class is sent again after a reset within the 500 ms deduplication window, but not after it.
+void deduped() {
+  Scenario scenario(Scenario::request_class(1, Idempotency::kDeduplicated), 2, 2);
+  scenario.list_endpoints(2);
+  scenario.request_arrives(1, {0});
+  scenario.now = 500 * kMs;
+  scenario.attempt_ends(10, AttemptOutcome::kReset);
+  scenario.now = 510 * kMs;
+  scenario.attempt_ends(10, AttemptOutcome::kError);
+  scenario.run_until(3500);
+}
+
+// A draining endpoint gets no new attempts. Once it is ready again it gets attempts again.
+void drain() {
+  Scenario scenario(Scenario::request_class(), 2, 2);
+  scenario.list_endpoints(2);
+  scenario.list_change(1, EndpointState::kDraining);
+  scenario.request_arrives(1, {0, 0, 0});
+  scenario.list_change(2, EndpointState::kRemoved);
+  scenario.request_arrives(2, {0}, 100 * kMs);
+  scenario.run_until(200);
+  scenario.list_change(1, EndpointState::kReady);
+  scenario.request_arrives(3, {0});
+}
+
+// Reports a request with one shard request, id + 1, for shard 0. @return whether that is sent at once
+bool is_sent_at_once(RequestPolicy& policy, Time now, RequestId id, Time time_left) {
+  policy.request_arrived(now, id, 0, static_cast<float>(id), false, time_left);
+  policy.shard_request_arrived(now, id + 1, static_cast<float>(id), 0, 1);
+  const auto action = policy.next(now);
+  return action && action->kind == PolicyAction::Kind::kSendAttempt;
+}
+
+// The only replica has just started: it gets an attempt now and then, and more of them as it warms up.
+void cold_cap() {
+  Scenario scenario(Scenario::request_class(), 1, 1);
+  scenario.now = kSecond;
+  scenario.list_endpoints(1, kSecond);
+  std::string sent;  // one character per request, four requests a second
   for (RequestId id = 1; id <= 40; ++id) {
-    const bool goes = sent_at_once(s.d, s.now, id * 10, kSecond);
-    if (goes) s.d.attempt_ended(s.now, id * 10 + 1, 0, AttemptOutcome::kOk, 100 * kMs, true, {});
-    while (s.d.next(s.now)) continue;
-    s.now += 250 * kMs;
-    sent += goes ? "+" : "-";
+    const bool is_sent = is_sent_at_once(scenario.policy, scenario.now, id * 10, kSecond);
+    if (is_sent) {
+      scenario.policy.attempt_ended(scenario.now, id * 10 + 1, 0, AttemptOutcome::kOk, 100 * kMs, true, {});
+    }
+    while (scenario.policy.next(scenario.now)) continue;
+    scenario.now += 250 * kMs;
+    sent += is_sent ? "+" : "-";
     if (id % 4 == 0) sent += ' ';
   }
   std::printf("%s\n", sent.c_str());
 }
 
-void cold_sum() {  // rule 4: a hundred brokers hear of one start; far from each of them sends a part at once
-  int first = 0, later = 0;
+// A hundred brokers learn of one start. Far fewer than all of them may send an attempt at once.
+void cold_sum() {
+  int sent_at_once = 0;
+  int sent_later = 0;
   for (std::uint64_t seed = 0; seed < 100; ++seed) {
-    RequestPolicy d(seed);
-    d.set_brokers(100);
-    d.add_request_class(Story::op());
-    d.set_layout(1, 1, 1);
-    d.set_slow_start(0.2, 10 * kSecond, 2, kSecond);
-    d.list_begins(kSecond, true);
-    d.list_endpoint(1, EndpointState::kReady, kSecond, 0);
-    d.list_ends();
-    if (sent_at_once(d, kSecond, 10, 3 * kSecond))
-      ++first;
-    else
-      later += sent_at_once(d, 2 * kSecond, 20, 3 * kSecond);
+    RequestPolicy policy(seed);
+    policy.set_brokers(100);
+    policy.add_request_class(Scenario::request_class());
+    policy.set_layout(1, 1, 1);
+    policy.set_slow_start(0.2, 10 * kSecond, 2, kSecond);
+    policy.list_begins(kSecond, true);
+    policy.list_endpoint(1, EndpointState::kReady, kSecond, 0);
+    policy.list_ends();
+    if (is_sent_at_once(policy, kSecond, 10, 3 * kSecond)) {
+      ++sent_at_once;
+    } else {
+      sent_later += is_sent_at_once(policy, 2 * kSecond, 20, 3 * kSecond);
+    }
+  }
+  std::printf("a part at once from %d of 100 brokers, within the next span from %d\n", sent_at_once,
+              sent_later);
+}
+
+// The endpoint that returned an error at once has the fewest batches in flight, but another replica gets the
+// shard request next.
+void erred() {
+  Scenario scenario(Scenario::request_class(), 2, 2);
+  scenario.list_endpoints(2);
+  scenario.request_arrives(1, {0, 0});
+  scenario.now = kMs;
+  scenario.attempt_ends(10, AttemptOutcome::kError, kMs);
+  scenario.attempt_ends(10, AttemptOutcome::kError, kMs);
+}
+
+// The replica in the own zone is down, and the limit of the other zone is soon used up. Requests 2 and 3 must
+// be rejected without any attempt, as they could not complete.
+void zones_shut() {
+  Scenario scenario(Scenario::request_class(), 2, 2);
+  scenario.policy.set_zone_limits({{1.0}, {0.03}}, 2, 0);
+  scenario.policy.start();
+  scenario.policy.list_begins(scenario.now, true);
+  for (EndpointId id : {1, 2}) {
+    scenario.policy.list_endpoint(id, EndpointState::kReady, 0, static_cast<int>(id) - 1, id == 1 ? 0 : 1);
   }
-  std::printf("a part at once from %d of 100 brokers, within the next span from %d\n", first, later);
-}
-
-void erred() {  // the node that answered with an error at once has the fewest out, but another holder gets it
-  Story s(Story::op(), 2, 2);
-  s.nodes(2);
-  s.ask(1, {0, 0});
-  s.now = kMs;
-  s.back(10, AttemptOutcome::kError, kMs);
-  s.back(10, AttemptOutcome::kError, kMs);
-}
-
-void zones_shut() {  // the near holder is dead, the one elsewhere shut for now: neither part goes out for
-                     // nothing
-  Story s(Story::op(), 2, 2);
-  s.d.set_zone_limits({{1.0}, {0.03}}, 2, 0);
-  s.d.start();
-  s.d.list_begins(s.now, true);
-  for (EndpointId id : {1, 2})
-    s.d.list_endpoint(id, EndpointState::kReady, 0, static_cast<int>(id) - 1, id == 1 ? 0 : 1);
-  s.d.list_ends();
+  scenario.policy.list_ends();
   for (RequestId id = 1; id <= 3; ++id) {
-    s.ask(id, {0, 1});
-    for (RequestId part : {id * 10, id * 10 + 1})
-      if (s.sends[part]) s.back(part, AttemptOutcome::kConnectFailed, 0);
-    s.now += kMs;
+    scenario.request_arrives(id, {0, 1});
+    for (RequestId shard_request : {id * 10, id * 10 + 1}) {
+      if (scenario.attempt_counts[shard_request]) {
+        scenario.attempt_ends(shard_request, AttemptOutcome::kConnectFailed, 0);
+      }
+    }
+    scenario.now += kMs;
   }
-  // What all that is asked for gathers in time lets one cross whole.
+  // Their demand adds up to credit, so from time to time all of a request is sent to the other zone.
   for (RequestId id = 4; id <= 100; ++id) {
-    s.d.request_arrived(s.now, id, 0, static_cast<float>(id), false, kSecond);
-    for (int i = 0; i < 2; ++i) s.d.shard_request_arrived(s.now, id * 10 + i, static_cast<float>(id), i, 0.5);
-    int sent = 0;
-    while (const auto x = s.d.next(s.now)) {
-      sent += x->kind == PolicyAction::Kind::kSendAttempt;
-      if (x->kind != PolicyAction::Kind::kSendAttempt) continue;
-      s.sends[x->request] = 1;
-      std::printf("       multiget %u sends part %u to node %u\n", id, x->request,
-                  static_cast<unsigned>(x->endpoint));
+    scenario.policy.request_arrived(scenario.now, id, 0, static_cast<float>(id), false, kSecond);
+    for (int i = 0; i < 2; ++i) {
+      scenario.policy.shard_request_arrived(scenario.now, id * 10 + i, static_cast<float>(id), i, 0.5);
+    }
+    while (const auto action = scenario.policy.next(scenario.now)) {
+      if (action->kind != PolicyAction::Kind::kSendAttempt) continue;
+      scenario.attempt_counts[action->request] = 1;
+      std::printf("       multiget %u sends part %u to node %u\n", id, action->request,
+                  static_cast<unsigned>(action->endpoint));
     }
   }
 }
 
-void long_gone() {  // forgotten 13 s after it has gone, the warm-up and the route timeout, if nothing is out
-  Story s(Story::op(), 2, 1);
-  s.nodes(2);
-  s.ask(1, {0}, 60 * kSecond);
-  s.change(1, EndpointState::kRemoved);
-  s.change(2, EndpointState::kRemoved);
-  s.change(2, EndpointState::kReady);
-  s.run_to(14000);
-  s.change(2, EndpointState::kReady);
-  s.back(10, AttemptOutcome::kCancelled);
-  s.change(1, EndpointState::kReady);
-  s.ask(2, {0});
-}
-
-void in_part() {  // rule 5: least half, need all: time up with one of two in, then with none
-  RequestClass op = Story::op();
-  op.min_response_share = 0.5, op.partial_value_share = 0.9;
-  Story s(op, 2, 1);
-  s.nodes(2);
-  s.ask(1, {0, 1}, 900 * kMs);
-  s.now = 100 * kMs;
-  s.back(10, AttemptOutcome::kOk);
-  s.run_to(1000);
-  s.ask(2, {0, 1}, 900 * kMs);
-  s.run_to(2000);
-}
-
-void second_step() {  // the first answer brings two more parts; whole only when all of them are in
-  RequestClass op = Story::op(0.5);
-  op.second_step_shard_requests = 2;
-  Story s(op, 2, 2);
-  s.nodes(2);
-  s.ask(1, {0, 1});
-  s.now = 100 * kMs;
-  s.back(10, AttemptOutcome::kOk);
-  s.d.shard_request_arrived(s.now, 18, 1, 0, 0.5);
-  s.d.shard_request_arrived(s.now, 19, 1, 1, 0.5);
-  s.pull();
-  s.back(18, AttemptOutcome::kOk);
-  s.back(19, AttemptOutcome::kOk);
-}
-
-void send_budget() {  // rule 6: one further send a second is free, shares earn none; the next waits for the
-                      // window
-  Story s(Story::op(), 3, 3);
-  s.d.set_retry_budget(1, 0, kSecond);
-  s.nodes(3);
-  s.ask(1, {0, 0});
-  s.back(10, AttemptOutcome::kConnectFailed);
-  s.back(11, AttemptOutcome::kConnectFailed);
-  s.run_to(1200);
-}
-
-void budget_late() {  // rule 6: a further send waits 250 ms for its connection; the window counts from then
-  Story s(Story::op(), 3, 3);
-  s.d.set_retry_budget(1, 0, kSecond, 250 * kMs);
-  s.nodes(3);
-  s.ask(1, {0, 0});
-  s.back(10, AttemptOutcome::kConnectFailed);
-  s.run_to(100);
-  s.back(11, AttemptOutcome::kConnectFailed);
-  s.run_to(1400);
-}
-
-void overdue_undrawn() {  // one of three in, two overdue: the undrawn part comes before a second copy
-  Story s(Story::op(0.5), 4, 2);
-  s.nodes(4);
-  s.ask(1, {0, 1, 2, 3});
-  s.now = 100 * kMs;
-  s.back(10, AttemptOutcome::kOk);
-  s.run_to(900);
-}
-
-void hang() {  // a silent node is left alone, its part copied, then tried with one part; after that its slow
-               // sample still leaves it behind its peer
-  Story s(Story::op(), 2, 2);
-  s.nodes(2);
-  s.ask(1, {0});
-  s.run_to(600);
-  s.back(10, AttemptOutcome::kOk, 100 * kMs);
-  s.back(10, AttemptOutcome::kCancelled, 600 * kMs, 0);
+// A removed endpoint is forgotten 13 s after its removal (the warm-up plus the longest request timeout),
+// unless an attempt is still in flight to it.
+void long_gone() {
+  Scenario scenario(Scenario::request_class(), 2, 1);
+  scenario.list_endpoints(2);
+  scenario.request_arrives(1, {0}, 60 * kSecond);
+  scenario.list_change(1, EndpointState::kRemoved);
+  scenario.list_change(2, EndpointState::kRemoved);
+  scenario.list_change(2, EndpointState::kReady);
+  scenario.run_until(14000);
+  scenario.list_change(2, EndpointState::kReady);
+  scenario.attempt_ends(10, AttemptOutcome::kCancelled);
+  scenario.list_change(1, EndpointState::kReady);
+  scenario.request_arrives(2, {0});
+}
+
+// The minimum share is a half, the required share is 1. Time runs out with one of two responses, then with
+// none.
+void in_part() {
+  RequestClass request_class = Scenario::request_class();
+  request_class.min_response_share = 0.5;
+  request_class.partial_value_share = 0.9;
+  Scenario scenario(request_class, 2, 1);
+  scenario.list_endpoints(2);
+  scenario.request_arrives(1, {0, 1}, 900 * kMs);
+  scenario.now = 100 * kMs;
+  scenario.attempt_ends(10, AttemptOutcome::kOk);
+  scenario.run_until(1000);
+  scenario.request_arrives(2, {0, 1}, 900 * kMs);
+  scenario.run_until(2000);
+}
+
+// The first response leads to two more shard requests. The request is complete only when both have a
+// response.
+void second_step() {
+  RequestClass request_class = Scenario::request_class(0.5);
+  request_class.second_step_shard_requests = 2;
+  Scenario scenario(request_class, 2, 2);
+  scenario.list_endpoints(2);
+  scenario.request_arrives(1, {0, 1});
+  scenario.now = 100 * kMs;
+  scenario.attempt_ends(10, AttemptOutcome::kOk);
+  scenario.policy.shard_request_arrived(scenario.now, 18, 1, 0, 0.5);
+  scenario.policy.shard_request_arrived(scenario.now, 19, 1, 1, 0.5);
+  scenario.print_actions();
+  scenario.attempt_ends(18, AttemptOutcome::kOk);
+  scenario.attempt_ends(19, AttemptOutcome::kOk);
+}
+
+// The retry budget allows one further attempt per second and none for arrivals. The next one waits until the
+// window has passed.
+void send_budget() {
+  Scenario scenario(Scenario::request_class(), 3, 3);
+  scenario.policy.set_retry_budget(1, 0, kSecond);
+  scenario.list_endpoints(3);
+  scenario.request_arrives(1, {0, 0});
+  scenario.attempt_ends(10, AttemptOutcome::kConnectFailed);
+  scenario.attempt_ends(11, AttemptOutcome::kConnectFailed);
+  scenario.run_until(1200);
+}
+
+// An attempt may wait 250 ms for its connection, so it counts in the budget window for 250 ms longer.
+void budget_late() {
+  Scenario scenario(Scenario::request_class(), 3, 3);
+  scenario.policy.set_retry_budget(1, 0, kSecond, 250 * kMs);
+  scenario.list_endpoints(3);
+  scenario.request_arrives(1, {0, 0});
+  scenario.attempt_ends(10, AttemptOutcome::kConnectFailed);
+  scenario.run_until(100);
+  scenario.attempt_ends(11, AttemptOutcome::kConnectFailed);
+  scenario.run_until(1400);
+}
+
+// One of three attempts has ended and two are overdue. The unselected shard request is sent before an
+// overdue one is hedged.
+void overdue_undrawn() {
+  Scenario scenario(Scenario::request_class(0.5), 4, 2);
+  scenario.list_endpoints(4);
+  scenario.request_arrives(1, {0, 1, 2, 3});
+  scenario.now = 100 * kMs;
+  scenario.attempt_ends(10, AttemptOutcome::kOk);
+  scenario.run_until(900);
+}
+
+// An endpoint that does not respond is ejected and its shard request is hedged. Later shard requests go to
+// the other replica.
+void hang() {
+  Scenario scenario(Scenario::request_class(), 2, 2);
+  scenario.list_endpoints(2);
+  scenario.request_arrives(1, {0});
+  scenario.run_until(600);
+  scenario.attempt_ends(10, AttemptOutcome::kOk, 100 * kMs);
+  scenario.attempt_ends(10, AttemptOutcome::kCancelled, 600 * kMs, 0);
   for (RequestId id = 2; id < 5; ++id) {
-    s.run_to(500 + 200 * id);
-    s.ask(id, {0});
-    s.now += 100 * kMs;
-    s.back(id * 10, AttemptOutcome::kOk);
+    scenario.run_until(500 + 200 * id);
+    scenario.request_arrives(id, {0});
+    scenario.now += 100 * kMs;
+    scenario.attempt_ends(id * 10, AttemptOutcome::kOk);
   }
 }
 
-void given_up() {  // the only replica stays silent: ended after a latency budget and an overdue time, not at
-                   // 3 s
-  Story s(Story::op(), 1, 1);
-  s.nodes(1);
-  s.ask(1, {0});
-  s.run_to(4000);
+// The only replica does not respond. The request ends after its latency objective plus the overdue time, not
+// at the deadline of 3 s.
+void given_up() {
+  Scenario scenario(Scenario::request_class(), 1, 1);
+  scenario.list_endpoints(1);
+  scenario.request_arrives(1, {0});
+  scenario.run_until(4000);
 }
 
-void short_tries() {  // unmarked clients with little time at first aren't taken for ones that have waited
-                      // long
-  Story s(Story::op(), 1, 1);
-  s.nodes(1);
+// Clients that do not mark retries and give a request little time must not be taken for clients that have
+// already waited long.
+void short_tries() {
+  Scenario scenario(Scenario::request_class(), 1, 1);
+  scenario.list_endpoints(1);
   for (RequestId id = 1; id < 4; ++id) {
-    s.ask(id, {0}, id == 2 ? 300 * kMs : 2 * kSecond);
-    s.now += 100 * kMs;
-    s.back(id * 10, AttemptOutcome::kOk);
+    scenario.request_arrives(id, {0}, id == 2 ? 300 * kMs : 2 * kSecond);
+    scenario.now += 100 * kMs;
+    scenario.attempt_ends(id * 10, AttemptOutcome::kOk);
   }
 }
 
-void swallows() {  // a node that answers three later parts has lost one: copied before it is overdue at 500
-                   // ms
-  Story s(Story::op(), 2, 2);
-  s.nodes(2);
-  s.change(2, EndpointState::kDraining);
-  for (RequestId id = 1; id < 5; ++id, s.now += 10 * kMs) s.ask(id, {0});
-  s.now = 150 * kMs;
-  for (RequestId id = 2; id < 5; ++id) s.back(id * 10, AttemptOutcome::kOk, 120 * kMs);
-  s.change(2, EndpointState::kReady);
-  s.run_to(700);
-}
-
-void list_lost() {  // the subscription fails, then drops: asked for again after a wait, longer each time
-  Story s(Story::op(), 2, 2);
-  s.d.set_discovery(true, 10 * kSecond);
-  s.nodes(2);
-  s.pull();
+// An endpoint that has answered three later attempts is assumed to have lost an earlier one. That one is
+// hedged before it is overdue at 500 ms.
+void swallows() {
+  Scenario scenario(Scenario::request_class(), 2, 2);
+  scenario.list_endpoints(2);
+  scenario.list_change(2, EndpointState::kDraining);
+  for (RequestId id = 1; id < 5; ++id, scenario.now += 10 * kMs) scenario.request_arrives(id, {0});
+  scenario.now = 150 * kMs;
+  for (RequestId id = 2; id < 5; ++id) scenario.attempt_ends(id * 10, AttemptOutcome::kOk, 120 * kMs);
+  scenario.list_change(2, EndpointState::kReady);
+  scenario.run_until(700);
+}
+
+// The subscription fails repeatedly. It is requested again after a backoff that grows each time.
+void list_lost() {
+  Scenario scenario(Scenario::request_class(), 2, 2);
+  scenario.policy.set_discovery(true, 10 * kSecond);
+  scenario.list_endpoints(2);
+  scenario.print_actions();
   for (int i = 0; i < 3; ++i) {
     std::printf("       list: failed\n");
-    s.d.list_failed(s.now);
-    s.pull();
-    s.run_to(s.now / kMs + 6000);
+    scenario.policy.list_failed(scenario.now);
+    scenario.print_actions();
+    scenario.run_until(scenario.now / kMs + 6000);
   }
 }
 
-void push_back() {  // slow answers, parts piling up: what can't be in time is turned away and told when to
-                    // return
-  Story s(Story::op(), 1, 1);
-  s.nodes(1);
+// Responses are slow and shard requests queue up. A request that cannot be answered in time is rejected with
+// a Retry-After.
+void push_back() {
+  Scenario scenario(Scenario::request_class(), 1, 1);
+  scenario.list_endpoints(1);
   for (RequestId id = 1; id < 3; ++id) {
-    s.ask(id, {0});
-    s.now += 300 * kMs;
-    s.back(id * 10, AttemptOutcome::kOk, 300 * kMs);
+    scenario.request_arrives(id, {0});
+    scenario.now += 300 * kMs;
+    scenario.attempt_ends(id * 10, AttemptOutcome::kOk, 300 * kMs);
   }
-  for (RequestId id = 3; id < 7; ++id) s.ask(id, {0});
-}
-
-void heard_once() {  // one sample tells a slow node, here of a part called off after 0.4 s; it fades in time
-  Story s(Story::op(), 3, 3);
-  s.nodes(3);
-  for (RequestId id = 1; id < 4; ++id) s.ask(id, {0});
-  s.run_to(100);
-  s.back(10, AttemptOutcome::kOk);
-  s.back(20, AttemptOutcome::kOk);
-  s.run_to(400);
-  s.d.request_abandoned(3);
-  s.pull();
-  s.back(30, AttemptOutcome::kCancelled, 400 * kMs);
+  for (RequestId id = 3; id < 7; ++id) scenario.request_arrives(id, {0});
+}
+
+// One sample is enough to mark an endpoint as slow, here the age of an attempt that was cancelled after
+// 0.4 s. The sample loses its weight with time.
+void heard_once() {
+  Scenario scenario(Scenario::request_class(), 3, 3);
+  scenario.list_endpoints(3);
+  for (RequestId id = 1; id < 4; ++id) scenario.request_arrives(id, {0});
+  scenario.run_until(100);
+  scenario.attempt_ends(10, AttemptOutcome::kOk);
+  scenario.attempt_ends(20, AttemptOutcome::kOk);
+  scenario.run_until(400);
+  scenario.policy.request_abandoned(3);
+  scenario.print_actions();
+  scenario.attempt_ends(30, AttemptOutcome::kCancelled, 400 * kMs);
   for (RequestId id = 4; id < 10; ++id) {
-    if (id == 7) s.run_to(60000);
-    s.ask(id, {0});
-    s.back(id * 10, AttemptOutcome::kOk);
+    if (id == 7) scenario.run_until(60000);
+    scenario.request_arrives(id, {0});
+    scenario.attempt_ends(id * 10, AttemptOutcome::kOk);
   }
 }
 
-void full_queue() {  // one full queue tells: the part goes elsewhere at once, the next ones go there too
-  Story s(Story::op(), 2, 2);
-  s.nodes(2);
-  s.ask(1, {0});
-  s.back(10, AttemptOutcome::kQueueFull, kMs);
-  for (RequestId id = 2; id < 5; ++id) s.ask(id, {0});
-}
-
-void unheard_node() {  // parts lost at one node don't make a node that hasn't been heard of look slow
-  Story s(Story::op(), 3, 1);
-  s.nodes(3);
-  s.ask(1, {0});
-  s.back(10, AttemptOutcome::kOk);
-  s.ask(2, {1});
-  s.run_to(900);
-  s.d.request_abandoned(2);
-  s.pull();
-  s.back(20, AttemptOutcome::kCancelled, 900 * kMs);
-  s.ask(3, {2});
-}
-
-void lost_pay() {  // six nodes in turn lose a part while the others are quick: each is made up for
-  Story s(Story::op(), 16, 2);
-  s.nodes(16);
+// After one rejection by a full queue, the shard request goes to the other replica at once, and so do later
+// ones.
+void full_queue() {
+  Scenario scenario(Scenario::request_class(), 2, 2);
+  scenario.list_endpoints(2);
+  scenario.request_arrives(1, {0});
+  scenario.attempt_ends(10, AttemptOutcome::kQueueFull, kMs);
+  for (RequestId id = 2; id < 5; ++id) scenario.request_arrives(id, {0});
+}
+
+// Attempts lost at one endpoint must not make an endpoint without samples look slow.
+void unheard_node() {
+  Scenario scenario(Scenario::request_class(), 3, 1);
+  scenario.list_endpoints(3);
+  scenario.request_arrives(1, {0});
+  scenario.attempt_ends(10, AttemptOutcome::kOk);
+  scenario.request_arrives(2, {1});
+  scenario.run_until(900);
+  scenario.policy.request_abandoned(2);
+  scenario.print_actions();
+  scenario.attempt_ends(20, AttemptOutcome::kCancelled, 900 * kMs);
+  scenario.request_arrives(3, {2});
+}
+
+// Six endpoints in turn lose an attempt while the others respond fast. The token spent on each hedge must be
+// refunded, or the fifth hedge would find none.
+void lost_pay() {
+  Scenario scenario(Scenario::request_class(), 16, 2);
+  scenario.list_endpoints(16);
   for (RequestId id = 1; id < 7; ++id) {
-    s.ask(id, {2 * static_cast<int>(id - 1)});
-    s.run_to(1000 * id - 400);
-    s.back(id * 10, AttemptOutcome::kOk);
-    s.run_to(1000 * id);
+    scenario.request_arrives(id, {2 * static_cast<int>(id - 1)});
+    scenario.run_until(1000 * id - 400);
+    scenario.attempt_ends(id * 10, AttemptOutcome::kOk);
+    scenario.run_until(1000 * id);
   }
 }
 
-void late_ones() {  // each late multiget takes from the share of the budget that an estimate may take
-  Story s(Story::op(), 1, 1);
-  s.nodes(1);
+// Each late request lowers the share of the latency objective that an estimated latency may take.
+void late_ones() {
+  Scenario scenario(Scenario::request_class(), 1, 1);
+  scenario.list_endpoints(1);
   for (RequestId id = 1; id < 4; ++id) {
-    s.ask(id, {0});
-    s.run_to(1200 * id);
-    s.back(id * 10, AttemptOutcome::kOk, 350 * kMs);  // the answer is told late, the node was quick
+    scenario.request_arrives(id, {0});
+    scenario.run_until(1200 * id);
+    // The response is reported late, although the endpoint was fast.
+    scenario.attempt_ends(id * 10, AttemptOutcome::kOk, 350 * kMs);
   }
-  s.ask(4, {0});
-  s.ask(5, {0});
+  scenario.request_arrives(4, {0});
+  scenario.request_arrives(5, {0});
 }
 
-void short_budget() {  // queues stay within the shortest budget of any op type, here 400 ms, not this one's 1
-                       // s
-  Story s(Story::op(), 1, 1);
-  RequestClass other = Story::op();
+// Queues are kept within the shortest latency objective of all classes, here 400 ms, rather than this
+// class's 1 s.
+void short_budget() {
+  Scenario scenario(Scenario::request_class(), 1, 1);
+  RequestClass other = Scenario::request_class();
   other.latency_objective = 400 * kMs;
-  s.d.add_request_class(other);
-  s.nodes(1);
+  scenario.policy.add_request_class(other);
+  scenario.list_endpoints(1);
   for (RequestId id = 1; id < 3; ++id) {
-    s.ask(id, {0});
-    s.now += 100 * kMs;
-    s.back(id * 10, AttemptOutcome::kOk);
+    scenario.request_arrives(id, {0});
+    scenario.now += 100 * kMs;
+    scenario.attempt_ends(id * 10, AttemptOutcome::kOk);
   }
-  for (RequestId id = 3; id < 7; ++id) s.ask(id, {0});
+  for (RequestId id = 3; id < 7; ++id) scenario.request_arrives(id, {0});
 }
 
-void class_limits() {  // two of class 1 in flight at most; one rejected counts until it is released
+// At most two requests of class 1 may be in flight. A rejected request counts until it is released.
+void class_limits() {
   RequestClassLimiter limiter;
   const auto arrives = [&](int request_class, bool is_served, int max_in_flight) {
-    const bool goes_on = limiter.admit(request_class, is_served, max_in_flight);
+    const bool is_admitted = limiter.admit(request_class, is_served, max_in_flight);
     std::printf("class %d arrives, %s, at most %d: %s\n", request_class, is_served ? "served" : "not served",
-                max_in_flight, goes_on ? "goes on" : "rejected");
+                max_in_flight, is_admitted ? "goes on" : "rejected");
   };
   arrives(1, true, 2);
   arrives(1, true, 2);
@@ -423,38 +479,42 @@
 
 int main(int argc, char** argv) {
   using namespace cairnhub;
-  const std::pair<const char*, void (*)()> all[] = {{"any_k", any_k},
-                                                    {"fewest_out", fewest_out},
-                                                    {"shared_calls", shared_calls},
-                                                    {"no_outcome_ever", no_outcome_ever},
-                                                    {"early_wake", early_wake},
-                                                    {"non_retriable", non_retriable},
-                                                    {"deduped", deduped},
-                                                    {"drain", drain},
-                                                    {"cold_cap", cold_cap},
-                                                    {"cold_sum", cold_sum},
-                                                    {"in_part", in_part},
-                                                    {"long_gone", long_gone},
-                                                    {"erred", erred},
-                                                    {"zones_shut", zones_shut},
-                                                    {"second_step", second_step},
-                                                    {"send_budget", send_budget},
-                                                    {"budget_late", budget_late},
-                                                    {"overdue_undrawn", overdue_undrawn},
-                                                    {"hang", hang},
-                                                    {"given_up", given_up},
-                                                    {"short_tries", short_tries},
-                                                    {"swallows", swallows},
-                                                    {"list_lost", list_lost},
-                                                    {"push_back", push_back},
-                                                    {"heard_once", heard_once},
-                                                    {"full_queue", full_queue},
-                                                    {"late_ones", late_ones},
-                                                    {"unheard_node", unheard_node},
-                                                    {"lost_pay", lost_pay},
-                                                    {"short_budget", short_budget},
-                                                    {"class_limits", class_limits}};
-  for (const auto& [name, story] : all)
-    if (argc > 1 && std::strcmp(argv[1], name) == 0) return story(), 0;
+  const std::pair<const char*, void (*)()> scenarios[] = {{"any_k", any_k},
+                                                          {"fewest_out", fewest_out},
+                                                          {"shared_calls", shared_calls},
+                                                          {"no_outcome_ever", no_outcome_ever},
+                                                          {"early_wake", early_wake},
+                                                          {"non_retriable", non_retriable},
+                                                          {"deduped", deduped},
+                                                          {"drain", drain},
+                                                          {"cold_cap", cold_cap},
+                                                          {"cold_sum", cold_sum},
+                                                          {"in_part", in_part},
+                                                          {"long_gone", long_gone},
+                                                          {"erred", erred},
+                                                          {"zones_shut", zones_shut},
+                                                          {"second_step", second_step},
+                                                          {"send_budget", send_budget},
+                                                          {"budget_late", budget_late},
+                                                          {"overdue_undrawn", overdue_undrawn},
+                                                          {"hang", hang},
+                                                          {"given_up", given_up},
+                                                          {"short_tries", short_tries},
+                                                          {"swallows", swallows},
+                                                          {"list_lost", list_lost},
+                                                          {"push_back", push_back},
+                                                          {"heard_once", heard_once},
+                                                          {"full_queue", full_queue},
+                                                          {"late_ones", late_ones},
+                                                          {"unheard_node", unheard_node},
+                                                          {"lost_pay", lost_pay},
+                                                          {"short_budget", short_budget},
+                                                          {"class_limits", class_limits}};
+  for (const auto& [name, run_scenario] : scenarios) {
+    if (argc > 1 && std::strcmp(argv[1], name) == 0) {
+      run_scenario();
+      return 0;
+    }
+  }
   return 2;
 }
