--- a/src/dispatch/request_dispatcher.cpp
+++ b/src/dispatch/request_dispatcher.cpp
@@ -195,7 +195,7 @@
   auto e = std::make_unique<Attempt>();
   e->shard_request = p, e->endpoint = d.endpoint, e->index = static_cast<int>(p->attempts.size());
   e->sent_at = now(), e->expires_at = e->sent_at + d.duration;
-  if (d.begin_within != kNever) e->begins_by = e->sent_at + d.begin_within;
+  if (d.max_start_delay != kNever) e->begins_by = e->sent_at + d.max_start_delay;
   p->attempts.push_back(std::move(e));
   if (common_) with_.record_attempt(*p->attempts.back());
   hosts_.send(*p->attempts.back(), d.endpoint);
--- a/src/dispatch/two_phase_runner.cpp
+++ b/src/dispatch/two_phase_runner.cpp
@@ -99,7 +99,7 @@
   };
   mine.match = add(derived);
   // Of one block each; whatever comes of them is taken, and the plan judges the whole.
-  derived.required_share = derived.min_answer_share = 1;
+  derived.required_share = derived.min_response_share = 1;
   mine.again = add(derived);
   mine.fetch = add(derived);
   limit_class(op_type, route_.limits(op_type));
--- a/src/server/broker.cpp
+++ b/src/server/broker.cpp
@@ -139,7 +139,7 @@
                phased.limit_class(i, l);
              }
              keep_in_regions();
-             policy.limit_zones(common->zones(), common->zone_step(), common->exploration_share());
+             policy.set_zone_limits(common->zones(), common->zone_step(), common->exploration_share());
              members.update_withheld();
            },
            [this] { keep_near(); },
