--- a/src/zone_failover/cross_zone_budget.cpp
+++ b/src/zone_failover/cross_zone_budget.cpp
@@ -6,70 +6,80 @@
 
 namespace {
 
-// How much of the most that one send was seen to carry each further one takes off it: a value of unusual size
-// is forgotten after some hundred.
-constexpr double kForget = 1.0 / 128;
+// How far each attempt moves the maximum towards its own bytes: an unusually large value is forgotten after
+// some hundred attempts.
+constexpr double kMaxBytesDecay = 1.0 / 128;
 
-void follow(double& most, double seen) { most = std::max(seen, most + kForget * (seen - most)); }
+void update_max(double& max_bytes, double bytes) {
+  max_bytes = std::max(bytes, max_bytes + kMaxBytesDecay * (bytes - max_bytes));
+}
 
 }  // namespace
 
-double CrossZoneBudget::left(Time now, const Op& op) const {
-  return std::min(full(op), op.left + op.a_second * seconds(now - op.at));
+double CrossZoneBudget::remaining_bytes(Time now, const Budget& budget) const {
+  return std::min(full_bytes(budget),
+                  budget.remaining_bytes + budget.bytes_per_second * seconds(now - budget.updated_at));
 }
 
-void CrossZoneBudget::set_limit(Time now, int op_type, double bytes_a_second) {
-  Op& op = op_types_.at(static_cast<std::size_t>(op_type));
-  if (op.a_second == bytes_a_second) return;
-  const bool had = op.a_second != kNoBudget;
-  limited_ += (bytes_a_second != kNoBudget) - had;
-  const double saved = had ? left(now, op) : kNoBudget;
-  op.a_second = bytes_a_second, op.at = now;
-  op.left = bytes_a_second == kNoBudget ? 0 : std::min(saved, full(op));
+void CrossZoneBudget::set_limit(Time now, int request_class, double bytes_per_second) {
+  Budget& budget = budgets_.at(static_cast<std::size_t>(request_class));
+  if (budget.bytes_per_second == bytes_per_second) return;
+  const bool was_limited = budget.bytes_per_second != kNoBudget;
+  limited_classes_ += (bytes_per_second != kNoBudget) - was_limited;
+  const double remaining = was_limited ? remaining_bytes(now, budget) : kNoBudget;
+  budget.bytes_per_second = bytes_per_second;
+  budget.updated_at = now;
+  budget.remaining_bytes = bytes_per_second == kNoBudget ? 0 : std::min(remaining, full_bytes(budget));
 }
 
-bool CrossZoneBudget::is_exhausted(Time now, int op_type) const {
-  const Op& op = op_types_.at(static_cast<std::size_t>(op_type));
-  if (op.a_second == kNoBudget) return false;
-  const double has = left(now, op), one = op.most_out + op.most_in;
-  // Danger: a value larger than all that is ever saved would never cross. It does alone, from a full budget.
-  if (op.sends_out == 0 && has >= full(op) && has > 0) return false;
-  if (one == 0) return op.sends_out > 0 || has <= 0;  // nothing known yet: one at a time
-  return has < one * (op.sends_out + 1);
+bool CrossZoneBudget::is_exhausted(Time now, int request_class) const {
+  const Budget& budget = budgets_.at(static_cast<std::size_t>(request_class));
+  if (budget.bytes_per_second == kNoBudget) return false;
+  const double remaining = remaining_bytes(now, budget);
+  const double expected_bytes = budget.max_bytes_out + budget.max_bytes_in;
+  // A value larger than a full budget would never cross; it may alone, from a full budget.
+  if (budget.attempts_in_flight == 0 && remaining >= full_bytes(budget) && remaining > 0) return false;
+  if (expected_bytes == 0)
+    return budget.attempts_in_flight > 0 || remaining <= 0;  // no size known yet: one attempt at a time
+  return remaining < expected_bytes * (budget.attempts_in_flight + 1);
 }
 
-bool CrossZoneBudget::start_attempt(Time now, int zone, int op_type) {
-  ZoneTrafficCounters& c = table_[{zone, op_type}];
-  ++c.attempts;
+bool CrossZoneBudget::start_attempt(Time now, int zone, int request_class) {
+  ZoneTrafficCounters& counters = counters_[{zone, request_class}];
+  ++counters.attempts;
   if (zone == 0) return false;
-  const bool over = is_exhausted(now, op_type);
-  if (over)
-    ++c.attempts_over_budget;
+  const bool is_over_budget = is_exhausted(now, request_class);
+  if (is_over_budget)
+    ++counters.attempts_over_budget;
   else
-    ++op_types_.at(static_cast<std::size_t>(op_type)).sends_out;
-  return over;
+    ++budgets_.at(static_cast<std::size_t>(request_class)).attempts_in_flight;
+  return is_over_budget;
 }
 
-void CrossZoneBudget::record_bytes(Time now, int zone, int op_type, bool over, long long out, long long in) {
-  ZoneTrafficCounters& c = table_[{zone, op_type}];
-  c.bytes_out += out, c.bytes_in += in;
-  if (over) c.bytes_over_budget += out + in;
-  if (op_type < 0) return;
-  Op& op = op_types_.at(static_cast<std::size_t>(op_type));
-  if (out > 0) follow(op.most_out, static_cast<double>(out));
-  if (in > 0) follow(op.most_in, static_cast<double>(in));
-  if (zone == 0 || over || op.a_second == kNoBudget) return;
-  op.left = left(now, op) - static_cast<double>(out + in), op.at = now;
+void CrossZoneBudget::record_bytes(Time now, int zone, int request_class, bool is_over_budget,
+                                   long long bytes_out, long long bytes_in) {
+  ZoneTrafficCounters& counters = counters_[{zone, request_class}];
+  counters.bytes_out += bytes_out;
+  counters.bytes_in += bytes_in;
+  if (is_over_budget) counters.bytes_over_budget += bytes_out + bytes_in;
+  if (request_class < 0) return;
+  Budget& budget = budgets_.at(static_cast<std::size_t>(request_class));
+  if (bytes_out > 0) update_max(budget.max_bytes_out, static_cast<double>(bytes_out));
+  if (bytes_in > 0) update_max(budget.max_bytes_in, static_cast<double>(bytes_in));
+  if (zone == 0 || is_over_budget || budget.bytes_per_second == kNoBudget) return;
+  budget.remaining_bytes = remaining_bytes(now, budget) - static_cast<double>(bytes_out + bytes_in);
+  budget.updated_at = now;
 }
 
-void CrossZoneBudget::finish_attempt(int zone, int op_type, bool over) {
-  if (zone != 0 && !over) --op_types_.at(static_cast<std::size_t>(op_type)).sends_out;
+void CrossZoneBudget::finish_attempt(int zone, int request_class, bool is_over_budget) {
+  if (zone != 0 && !is_over_budget) --budgets_.at(static_cast<std::size_t>(request_class)).attempts_in_flight;
 }
 
-CrossZoneBudget::BudgetState CrossZoneBudget::budget_state(Time now, int op_type) const {
-  const Op& op = op_types_.at(static_cast<std::size_t>(op_type));
-  return {op.a_second, op.a_second == kNoBudget ? kNoBudget : left(now, op), op.most_out + op.most_in,
-          op.sends_out};
+CrossZoneBudget::BudgetState CrossZoneBudget::budget_state(Time now, int request_class) const {
+  const Budget& budget = budgets_.at(static_cast<std::size_t>(request_class));
+  return {budget.bytes_per_second,
+          budget.bytes_per_second == kNoBudget ? kNoBudget : remaining_bytes(now, budget),
+          budget.max_bytes_out + budget.max_bytes_in, budget.attempts_in_flight};
 }
 
 }  // namespace cairnhub::zone_failover
--- a/src/zone_failover/cross_zone_budget.h
+++ b/src/zone_failover/cross_zone_budget.h
@@ -1,11 +1,12 @@
-// A broker's account of the parts and bytes it exchanges with each zone, by op type, and the budgets of those
-// that cross. No I/O and no clock.
+// Counts the attempts and bytes that one broker exchanges with each zone, by request class, and limits the
+// bytes that cross zones. Does no I/O and reads no clock.
 //
-// A budget gathers a second's bytes each second, up to what is stated as saved; what crosses is taken off it,
-// both ways. A send takes as much as one was seen to carry until what it carries is known, so that many sent
-// at once don't overdraw it. Spent, the op type's parts stay near; those that cross all the same, as their
-// shard has no near holder left, are counted apart and take nothing off it: answering goes before the budget,
-// and the budget is whole once the near holders are back.
+// The budget of a class is a token bucket of bytes: it fills at the class's rate up to a fixed time's worth,
+// and bytes in both directions are taken from it. Until the bytes of an attempt are known, the attempt
+// reserves as many as one was seen to carry, so that many concurrent attempts do not overdraw the budget.
+// Once the budget is exhausted, the class's shard requests stay in the own zone. Shard requests without a
+// local replica cross all the same, because a response matters more than the budget; they are counted
+// separately and take nothing from it, so the budget is full again once the local replicas are back.
 #pragma once
 #include <cstdint>
 #include <limits>
@@ -19,51 +20,61 @@
 
 constexpr double kNoBudget = std::numeric_limits<double>::infinity();
 
+// Of one zone and request class.
 struct ZoneTrafficCounters {
-  std::uint64_t attempts = 0, attempts_over_budget = 0;  // sends; of them, those beyond a spent budget
-  long long bytes_out = 0, bytes_in = 0,
-            bytes_over_budget = 0;  // bytes to the zone, from it; of both, those beyond a spent budget
+  std::uint64_t attempts = 0;
+  std::uint64_t attempts_over_budget = 0;  // sent while the budget was exhausted
+  long long bytes_out = 0;                 // to the zone
+  long long bytes_in = 0;                  // from the zone
+  long long bytes_over_budget = 0;         // in both directions, of the attempts over budget
 };
 
+// Zones are numbered; 0 is the broker's own.
 class CrossZoneBudget {
  public:
-  CrossZoneBudget(Time saved, std::size_t op_types) : saved_(saved), op_types_(op_types) {}
+  // A full budget holds what its rate yields in `fill_time`.
+  CrossZoneBudget(Time fill_time, std::size_t request_classes)
+      : fill_time_(fill_time), budgets_(request_classes) {}
 
-  // Bytes a second; kNoBudget: none. A first one begins full; a lesser one takes away what it would not keep.
-  void set_limit(Time now, int op_type, double bytes_a_second);
-  bool has_limits() const { return limited_ > 0; }
-  bool is_exhausted(Time now, int op_type) const;
+  // Sets the class's rate; kNoBudget removes the limit. The first budget starts full; a lower one is cut to
+  // its new maximum.
+  void set_limit(Time now, int request_class, double bytes_per_second);
+  bool has_limits() const { return limited_classes_ > 0; }
+  bool is_exhausted(Time now, int request_class) const;
 
-  bool start_attempt(Time now, int zone, int op_type);  // zone 0: the own one; true: beyond a spent budget
-  // `op_type` -1: of a part no longer known.
-  void record_bytes(Time now, int zone, int op_type, bool over, long long out, long long in);
-  void finish_attempt(int zone, int op_type, bool over);
+  // Returns whether the attempt is over budget, which record_bytes() and finish_attempt() must be told.
+  bool start_attempt(Time now, int zone, int request_class);
+  // `request_class` is -1 for bytes of an attempt that is no longer known.
+  void record_bytes(Time now, int zone, int request_class, bool is_over_budget, long long bytes_out,
+                    long long bytes_in);
+  void finish_attempt(int zone, int request_class, bool is_over_budget);
 
   struct BudgetState {
-    double bytes_per_second, remaining_bytes,
-        expected_attempt_bytes;  // bytes; `a_send`: what one is taken to carry, 0 where none was seen
+    double bytes_per_second, remaining_bytes;
+    double expected_attempt_bytes;  // 0: no attempt carried any yet
     int attempts_in_flight;
   };
-  BudgetState budget_state(Time now, int op_type) const;
-  const std::map<std::pair<int, int>, ZoneTrafficCounters>& counters() const {
-    return table_;
-  }  // by zone and op type
+  BudgetState budget_state(Time now, int request_class) const;
+  // By zone and request class.
+  const std::map<std::pair<int, int>, ZoneTrafficCounters>& counters() const { return counters_; }
 
  private:
-  struct Op {
-    double a_second = kNoBudget, left = 0;
-    Time at = 0;
-    int sends_out = 0;
-    double most_out = 0, most_in = 0;  // of one send, forgotten slowly
+  struct Budget {
+    double bytes_per_second = kNoBudget;
+    double remaining_bytes = 0;  // at updated_at
+    Time updated_at = 0;
+    int attempts_in_flight = 0;
+    double max_bytes_out = 0;  // of one attempt; decays slowly
+    double max_bytes_in = 0;
   };
-  double left(Time now, const Op& op) const;
-  double full(const Op& op) const { return op.a_second * seconds(saved_); }
+  double remaining_bytes(Time now, const Budget& budget) const;
+  double full_bytes(const Budget& budget) const { return budget.bytes_per_second * seconds(fill_time_); }
 
-  Time saved_;
-  std::vector<Op> op_types_;
-  int limited_ = 0;
+  Time fill_time_;
+  std::vector<Budget> budgets_;  // by request class
+  int limited_classes_ = 0;
   std::map<std::pair<int, int>, ZoneTrafficCounters>
-      table_;  // zones by number and op types of the settings: bounded
+      counters_;  // bounded by the configured zones and classes
 };
 
 }  // namespace cairnhub::zone_failover
--- a/src/zone_failover/failover_state_machine.cpp
+++ b/src/zone_failover/failover_state_machine.cpp
@@ -4,8 +4,17 @@
 
 namespace cairnhub::zone_failover {
 
-const char* name_of(FailoverState s) {
-  switch (s) {
+namespace {
+
+constexpr int kAllThousandths = 1000;
+constexpr int kEvacuationStepThousandths = 250;
+constexpr int kMaxSpillingThousandths = 950;
+constexpr int kMinSpillingThousandths = 50;
+
+}  // namespace
+
+const char* name_of(FailoverState state) {
+  switch (state) {
     case FailoverState::kLocal:
       return "near";
     case FailoverState::kSpilling:
@@ -20,99 +29,118 @@
   return "?";
 }
 
-void FailoverStateMachine::resume(Time now, FailoverState state, int share) {
-  state_ = state, share_ = share;
-  since_ = stepped_ = now, good_since_ = kNever, begun_ = false;
-  looks_ = before_ = ZoneStatus::kUnknown;
+void FailoverStateMachine::resume(Time now, FailoverState state, int local_share_thousandths) {
+  state_ = state;
+  local_share_ = local_share_thousandths;
+  status_since_ = stepped_at_ = now;
+  good_since_ = kNever;
+  has_status_ = false;
+  confirmed_status_ = last_status_ = ZoneStatus::kUnknown;
 }
 
-void FailoverStateMachine::to(Time now, FailoverState state, int share) {
-  if (share < share_) good_since_ = kNever;  // what follows a fall must prove good anew
-  if (state != state_ || share != share_) stepped_ = now;
-  state_ = state, share_ = share;
+void FailoverStateMachine::move_to(Time now, FailoverState state, int local_share_thousandths) {
+  if (local_share_thousandths < local_share_) good_since_ = kNever;  // the zone must prove good again
+  if (state != state_ || local_share_thousandths != local_share_) stepped_at_ = now;
+  state_ = state;
+  local_share_ = local_share_thousandths;
 }
 
-void FailoverStateMachine::update(Time now, ZoneStatus look, double bears, OperatorOrder ordered,
-                                  bool in_force) {
-  if (dwell_ == 0) dwell_ = terms_.min_dwell;
-  if (!begun_ || look != before_) since_ = now, begun_ = true;
-  before_ = look;
-  // Nothing is known of a zone that nobody asks: that confirms nothing, and ends no look.
-  if (look != ZoneStatus::kUnknown && now - since_ >= terms_.confirmation_time) looks_ = look;
-  if (look == ZoneStatus::kGood) {
+void FailoverStateMachine::update(Time now, ZoneStatus status, double sustainable_share, OperatorOrder order,
+                                  bool is_in_force) {
+  if (dwell_ == 0) dwell_ = options_.min_dwell;
+  if (!has_status_ || status != last_status_) {
+    status_since_ = now;
+    has_status_ = true;
+  }
+  last_status_ = status;
+  // A zone without requests has an unknown status: it confirms nothing and ends no confirmed status.
+  if (status != ZoneStatus::kUnknown && now - status_since_ >= options_.confirmation_time)
+    confirmed_status_ = status;
+  if (status == ZoneStatus::kGood) {
     if (good_since_ == kNever) good_since_ = now;
-  } else if (look != ZoneStatus::kUnknown) {
+  } else if (status != ZoneStatus::kUnknown) {
     good_since_ = kNever;
   }
-  if (ordered == OperatorOrder::kHold) return;  // as it stands, until the operator ends it
+  if (order == OperatorOrder::kHold) return;
 
-  const bool may_step = now - stepped_ >= terms_.step_interval;
-  const bool bad = looks_ == ZoneStatus::kOverloaded || looks_ == ZoneStatus::kPartial;
-  const int bears_most = static_cast<int>(1000 * std::clamp(bears, 0.0, 1.0));
-  if (ordered == OperatorOrder::kEvacuate) {
-    if (state_ == FailoverState::kFailedOver) return to(now, FailoverState::kFailedOver, 0);
+  const bool may_step = now - stepped_at_ >= options_.step_interval;
+  const bool is_bad =
+      confirmed_status_ == ZoneStatus::kOverloaded || confirmed_status_ == ZoneStatus::kPartial;
+  const int sustainable = static_cast<int>(kAllThousandths * std::clamp(sustainable_share, 0.0, 1.0));
+  if (order == OperatorOrder::kEvacuate) {
+    if (state_ == FailoverState::kFailedOver) return move_to(now, FailoverState::kFailedOver, 0);
     if (state_ != FailoverState::kEvacuating)
-      return to(now, FailoverState::kEvacuating, std::max(0, share_ - 250));
+      return move_to(now, FailoverState::kEvacuating, std::max(0, local_share_ - kEvacuationStepThousandths));
     if (may_step)
-      to(now, share_ <= 250 ? FailoverState::kFailedOver : FailoverState::kEvacuating,
-         std::max(0, share_ - 250));
+      move_to(now,
+              local_share_ <= kEvacuationStepThousandths ? FailoverState::kFailedOver
+                                                         : FailoverState::kEvacuating,
+              std::max(0, local_share_ - kEvacuationStepThousandths));
     return;
   }
-  if (looks_ == ZoneStatus::kDead && state_ != FailoverState::kFailedOver) {
-    if (state_ == FailoverState::kReturning) dwell_ = std::min(2 * dwell_, terms_.max_dwell);
-    return to(now, FailoverState::kFailedOver, terms_.probe_thousandths);
+  if (confirmed_status_ == ZoneStatus::kDead && state_ != FailoverState::kFailedOver) {
+    if (state_ == FailoverState::kReturning) dwell_ = std::min(2 * dwell_, options_.max_dwell);
+    return move_to(now, FailoverState::kFailedOver, options_.probe_thousandths);
   }
-  // Every step back needs a look that is good now, not one that is only not bad.
-  const bool good = look == ZoneStatus::kGood && looks_ == ZoneStatus::kGood;
-  const bool dwelt = good && now - good_since_ >= dwell_;
+  // Every step back needs a good status now, not merely the absence of a bad one.
+  const bool is_good = status == ZoneStatus::kGood && confirmed_status_ == ZoneStatus::kGood;
+  const bool has_dwelt = is_good && now - good_since_ >= dwell_;
   switch (state_) {
     case FailoverState::kLocal:
-      if (bad) return to(now, FailoverState::kSpilling, std::min(bears_most, 950));
-      if (dwelt && now - stepped_ >= terms_.max_dwell)
-        dwell_ = std::max(dwell_ / 2, terms_.min_dwell), stepped_ = now;
+      if (is_bad)
+        return move_to(now, FailoverState::kSpilling, std::min(sustainable, kMaxSpillingThousandths));
+      if (has_dwelt && now - stepped_at_ >= options_.max_dwell) {
+        dwell_ = std::max(dwell_ / 2, options_.min_dwell);
+        stepped_at_ = now;
+      }
       return;
     case FailoverState::kSpilling:
-      // What is over is so with what stays now; what is lost is lost whatever stays.
-      if (bad && may_step && bears_most < 1000)
-        return to(now, FailoverState::kSpilling,
-                  std::max(50, looks_ == ZoneStatus::kOverloaded ? share_ * bears_most / 1000
-                                                                 : std::min(share_, bears_most)));
-      if (dwelt)
-        return to(now, FailoverState::kReturning, std::min(1000, share_ + terms_.first_step_thousandths));
+      // An overload was measured with the present local share, so the new share is a fraction of it. A loss
+      // is independent of how much stays local.
+      if (is_bad && may_step && sustainable < kAllThousandths)
+        return move_to(now, FailoverState::kSpilling,
+                       std::max(kMinSpillingThousandths, confirmed_status_ == ZoneStatus::kOverloaded
+                                                             ? local_share_ * sustainable / kAllThousandths
+                                                             : std::min(local_share_, sustainable)));
+      if (has_dwelt)
+        return move_to(now, FailoverState::kReturning,
+                       std::min(kAllThousandths, local_share_ + options_.first_step_thousandths));
       return;
-    case FailoverState::kEvacuating:  // the order was ended on the way
+    case FailoverState::kEvacuating:  // the order ended before the evacuation did
       if (may_step)
-        return to(now, FailoverState::kReturning, std::max(share_, terms_.first_step_thousandths));
+        return move_to(now, FailoverState::kReturning,
+                       std::max(local_share_, options_.first_step_thousandths));
       return;
     case FailoverState::kFailedOver:
-      if (share_ == 0)
-        return to(now, FailoverState::kFailedOver,
-                  terms_.probe_thousandths);  // asked a little, so that it is seen
-      if (dwelt) return to(now, FailoverState::kReturning, terms_.first_step_thousandths);
+      // A few requests must reach the zone, or its recovery would go unnoticed.
+      if (local_share_ == 0) return move_to(now, FailoverState::kFailedOver, options_.probe_thousandths);
+      if (has_dwelt) return move_to(now, FailoverState::kReturning, options_.first_step_thousandths);
       return;
     case FailoverState::kReturning:
-      if (bad) {  // the step made it worse: it is taken back
-        dwell_ = std::min(2 * dwell_, terms_.max_dwell);
-        return to(now, FailoverState::kSpilling, std::max(50, share_ / 2));
+      if (is_bad) {  // take the last step back
+        dwell_ = std::min(2 * dwell_, options_.max_dwell);
+        return move_to(now, FailoverState::kSpilling, std::max(kMinSpillingThousandths, local_share_ / 2));
       }
-      if (!in_force) return;
-      if (share_ >= 1000) return to(now, FailoverState::kLocal, 1000);
-      if (may_step && good) to(now, FailoverState::kReturning, std::min(1000, 2 * share_));
+      if (!is_in_force) return;
+      if (local_share_ >= kAllThousandths) return move_to(now, FailoverState::kLocal, kAllThousandths);
+      if (may_step && is_good)
+        move_to(now, FailoverState::kReturning, std::min(kAllThousandths, 2 * local_share_));
       return;
   }
 }
 
 std::string FailoverStateMachine::state_key(Time now) const {
-  // Of a span only so much counts as anything waits for.
-  const auto span = [&](Time from, Time most) {
-    return from == kNever ? std::string("-") : std::to_string(std::min(now - from, most));
+  // A time span counts only up to the longest that any decision waits for.
+  const auto span = [&](Time from, Time max_span) {
+    return from == kNever ? std::string("-") : std::to_string(std::min(now - from, max_span));
   };
-  return std::to_string(static_cast<int>(state_)) + ' ' + std::to_string(share_) + ' ' +
-         std::to_string(static_cast<int>(looks_)) + std::to_string(static_cast<int>(before_)) + ' ' +
-         span(since_, terms_.confirmation_time) + ' ' +
-         span(stepped_, std::max(terms_.step_interval, terms_.max_dwell)) + ' ' +
-         span(good_since_, std::max(dwell_, terms_.min_dwell)) + ' ' + std::to_string(dwell_) +
-         (begun_ ? "" : "b");
+  return std::to_string(static_cast<int>(state_)) + ' ' + std::to_string(local_share_) + ' ' +
+         std::to_string(static_cast<int>(confirmed_status_)) +
+         std::to_string(static_cast<int>(last_status_)) + ' ' +
+         span(status_since_, options_.confirmation_time) + ' ' +
+         span(stepped_at_, std::max(options_.step_interval, options_.max_dwell)) + ' ' +
+         span(good_since_, std::max(dwell_, options_.min_dwell)) + ' ' + std::to_string(dwell_) +
+         (has_status_ ? "" : "b");
 }
 
 }  // namespace cairnhub::zone_failover
--- a/src/zone_failover/failover_state_machine.h
+++ b/src/zone_failover/failover_state_machine.h
@@ -1,14 +1,14 @@
-// The course of one zone: how much of what its brokers ask for may stay at home, and whether others may send
-// there. Goes away at once where it must, comes back slowly. No I/O and no clock; tests/courses.cpp plays
-// every order of what can happen to it.
+// Decides for one zone how much of its brokers' demand stays local, and whether other zones may send there.
+// Traffic leaves at once if it must, and comes back slowly. Does no I/O and reads no clock; tests/courses.cpp
+// checks every sequence of inputs.
 //
-//   near -> spilling -> near            it bears less than its brokers ask for: the excess goes elsewhere
-//   near, spilling -> away              its hosts are dead
-//   any -> evacuating -> away           an operator's order, step by step
-//   away, spilling -> returning -> near once it has been good for a dwell, step by step as hosts warm
+//   local -> spilling -> local                   its brokers' demand is more than it can handle
+//   any -> failed over                           its endpoints are dead
+//   any -> evacuating -> failed over             an operator's order, in steps
+//   failed over, spilling -> returning -> local  good for a dwell; in steps, as its endpoints warm up
 //
-// A step that makes it worse is taken back, and the next dwell is twice as long: a zone that flaps moves
-// traffic once a dwell.
+// A returning step that makes the zone bad is taken back, and the next dwell is twice as long, so a flapping
+// zone moves traffic at most once per dwell.
 #pragma once
 #include <string>
 
@@ -17,49 +17,54 @@
 namespace cairnhub::zone_failover {
 
 struct FailoverOptions {
-  Time confirmation_time = kSecond;  // a look must last so long before anything follows from it
-  Time min_dwell = 10 * kSecond;     // good for so long before the first step back
+  Time confirmation_time = kSecond;  // a status counts once it has lasted this long
+  Time min_dwell = 10 * kSecond;     // time that a zone must be good before traffic returns
   Time max_dwell = 160 * kSecond;
   Time step_interval = 2 * kSecond;  // between two steps
-  int first_step_thousandths = 125;  // thousandths, of the first step back
-  int probe_thousandths = 10;        // that go on being asked of a dead zone, so that its return is seen
+  int first_step_thousandths = 125;  // local share after the first returning step
+  int probe_thousandths = 10;        // local share of a dead zone, so that its recovery is noticed
 };
 
 enum class FailoverState { kLocal, kSpilling, kEvacuating, kFailedOver, kReturning };
-const char* name_of(FailoverState s);
+// The name in JSON and in stored decisions: near, spilling, evacuating, away, returning.
+const char* name_of(FailoverState state);
 enum class OperatorOrder { kNone, kEvacuate, kHold };
 
 class FailoverStateMachine {
  public:
-  explicit FailoverStateMachine(const FailoverOptions& terms) : terms_(terms) {}
-  // As the last version has it: a leader that is new begins from there, its times counted anew.
-  void resume(Time now, FailoverState state, int share);
+  explicit FailoverStateMachine(const FailoverOptions& options) : options_(options) {}
+  // Continues from the last version's state, as a new leader does; all times start over.
+  void resume(Time now, FailoverState state, int local_share_thousandths);
 
-  // A look at it; `bears`: share of its brokers' parts, counted where it is over or fails in part.
-  // `in_force`: all brokers act on the state and share told last; until then a returning zone is given no
-  // more, as brokers that get several steps at once would bring back all its load in one.
-  void update(Time now, ZoneStatus look, double bears, OperatorOrder ordered, bool in_force = true);
+  // Takes the zone's present status. `sustainable_share`, of its brokers' demand, counts if the zone is
+  // overloaded or partial. `is_in_force` tells whether all brokers act on the last state and share. A
+  // returning zone gets no further step until they do: brokers that apply several steps at once would bring
+  // all its load back in one.
+  void update(Time now, ZoneStatus status, double sustainable_share, OperatorOrder order,
+              bool is_in_force = true);
 
   FailoverState state() const { return state_; }
-  int local_share_thousandths() const {
-    return share_;
-  }  // thousandths of its brokers' parts that may stay at home
-  // Others may send there more than the ground allows.
+  int local_share_thousandths() const { return local_share_; }  // of its brokers' demand
+  // Whether other zones may send it more than the minimum share.
   bool accepts_remote_traffic() const {
-    return state_ == FailoverState::kLocal && looks_ != ZoneStatus::kDead &&
-           looks_ != ZoneStatus::kOverloaded;
+    return state_ == FailoverState::kLocal && confirmed_status_ != ZoneStatus::kDead &&
+           confirmed_status_ != ZoneStatus::kOverloaded;
   }
-  // All that its further way depends on, for the exhaustive check.
+  // All that later decisions depend on, as one key for the exhaustive test.
   std::string state_key(Time now) const;
 
  private:
-  void to(Time now, FailoverState state, int share);
-  FailoverOptions terms_;
+  void move_to(Time now, FailoverState state, int local_share_thousandths);
+  FailoverOptions options_;
   FailoverState state_ = FailoverState::kLocal;
-  int share_ = 1000;
-  ZoneStatus looks_ = ZoneStatus::kGood, before_ = ZoneStatus::kGood;  // confirmed; the last told
-  Time since_ = 0, stepped_ = 0, good_since_ = kNever, dwell_ = 0;
-  bool begun_ = false;
+  int local_share_ = 1000;  // thousandths
+  ZoneStatus confirmed_status_ = ZoneStatus::kGood;
+  ZoneStatus last_status_ = ZoneStatus::kGood;
+  Time status_since_ = 0;
+  Time stepped_at_ = 0;
+  Time good_since_ = kNever;
+  Time dwell_ = 0;
+  bool has_status_ = false;  // an update came since the start or resume()
 };
 
 }  // namespace cairnhub::zone_failover
--- a/src/zone_failover/traffic_split.h
+++ b/src/zone_failover/traffic_split.h
@@ -1,11 +1,11 @@
-// What may go from zone to zone, so that no zone is given more by all others together than it can spare. No
-// I/O and no clock.
+// Computes what share of its demand each zone may send to each other zone, so that no zone gets more from all
+// others together than its spare capacity. Does no I/O and reads no clock.
 //
-// Each zone's brokers have an excess, what may not stay at home; each zone has a spare, its capacity less a
-// stated headroom and less what stays there. The excess is filled in, the cheap ways first, each home alike
-// in share; of what is left of the spare all homes get the same allowance, to be used without asking should
-// their own zone fail in the next instant. What fits nowhere is left out, and turned away by the brokers
-// whose it is.
+// The excess of a zone is the demand of its brokers that may not stay local. Its spare is its capacity minus
+// the headroom and minus what stays local. The excess is placed into the spare of other zones, those of the
+// same region first. Whatever spare remains is allowed to all other zones in equal shares, so that they can
+// use it without a new decision if their own zone fails. Excess without any spare is left unplaced, and the
+// brokers of its zone reject it.
 #pragma once
 #include <map>
 #include <set>
@@ -17,33 +17,32 @@
 
 namespace cairnhub::zone_failover {
 
+// Demand and capacity of one zone. Rates count shard requests.
 struct ZoneTraffic {
   std::string zone, region;
-  double demand_per_second = 0;    // parts a second asked for by its brokers' clients
-  double local_share = 1;          // of them that may stay at home
-  double capacity_per_second = 0;  // parts a second; 0: not known, then it has no spare
+  double demand_per_second = 0;    // of the clients of its brokers
+  double local_share = 1;          // of the demand, that may stay local
+  double capacity_per_second = 0;  // 0: not known; then the zone has no spare
   bool accepts_remote_traffic = true;
-  // Of its region: the share of what its brokers ask for that may leave it, and whether it takes in from
-  // others.
-  double max_region_egress_share = 1;
+  double max_region_egress_share = 1;  // of the demand, that may leave the zone's region
   bool region_accepts_remote_traffic = true;
 };
 
 struct TrafficSplit {
   shared_config::ZoneShares shares;
-  std::map<std::pair<std::string, std::string>, double>
-      planned_per_second;                             // parts a second planned, without the allowance
-  std::map<std::string, double> unplaced_per_second;  // parts a second of a zone's brokers that fit nowhere
+  // Planned from the first zone to the second, without the allowance.
+  std::map<std::pair<std::string, std::string>, double> planned_per_second;
+  std::map<std::string, double> unplaced_per_second;  // by zone that it comes from
 };
 
 struct TrafficSplitOptions {
   double headroom_share = 0.1;  // of the capacity, kept free
-  int min_share_thousandths =
-      30;  // thousandths that the common ground allows between any two, and each table at least
+  // Share that each zone may always send to each other one; the common ground allows it too.
+  int min_share_thousandths = 30;
 };
 
 using BrokenLinks = std::set<std::pair<std::string, std::string>>;
-TrafficSplit split_traffic(const std::vector<ZoneTraffic>& places, const BrokenLinks& cut,
-                           const TrafficSplitOptions& terms);
+TrafficSplit split_traffic(const std::vector<ZoneTraffic>& zones, const BrokenLinks& broken_links,
+                           const TrafficSplitOptions& options);
 
 }  // namespace cairnhub::zone_failover
--- a/src/zone_failover/zone_failover.h
+++ b/src/zone_failover/zone_failover.h
@@ -1,14 +1,17 @@
-// Zones at one broker: its own account, what it tells the voters, what it acts on; and, where it leads, the
-// decision for all: the courses of all zones and one table of shares, proposed as a version. No I/O and no
+// Zone failover at one broker: it counts its own attempts by zone, reports them to the voters and limits its
+// traffic by the decision in force. The leader also decides for all: it runs the state machines of all zones
+// and proposes one table of shares as a new version of the shared configuration. Does no I/O and reads no
 // clock.
 //
-// Regions stand one level above: what the zones of one can't bear together leaves it once that has lasted for
-// a time of its own, and comes back after a dwell of its own; until then no more than the ground crosses. A
-// region has the course of a zone, looked at by what its zones have left over.
+// Regions have state machines of their own, one level above the zones. The demand that the zones of a region
+// cannot handle together leaves the region once that has lasted for the region's confirmation time, and
+// returns after the region's dwell; until then no more than the minimum share crosses regions. A region is
+// judged by the demand that its zones leave unplaced.
 //
-// What a broker acts on comes with a version (docs/accord.md): how much may go from its zone to each other, a
-// rule whose meet is the less of two; and, as a note beside the rules, how much should stay at home. The note
-// forbids nothing: a broker that knows no table stays near, within the common ground.
+// A broker gets two things with a version (docs/accord.md): the shares that its zone may send to each other
+// zone, a rule whose meet is the lower of two shares; and, as a note beside the rules, the share that should
+// stay local. The note forbids nothing: a broker without a table keeps its traffic local, within the common
+// ground.
 #pragma once
 #include <map>
 #include <optional>
@@ -27,7 +30,7 @@
 
 struct ZoneOptions {
   std::string name, region;
-  double endpoint_capacity_per_second = 0;  // parts a second of one host; 0: not known
+  double endpoint_capacity_per_second = 0;  // shard requests that one endpoint can handle; 0: not known
 };
 
 struct ZoneFailoverOptions {
@@ -36,95 +39,108 @@
   ZoneHealthOptions health;
   FailoverOptions zone_failover, region_failover;
   TrafficSplitOptions traffic_split;
-  Time load_window = kSecond;  // of the account
+  Time load_window = kSecond;  // of ZoneLoad
   Time report_interval = kSecond / 2;
-  Time increase_delay = 10 * kSecond;  // a table that allows more, and does no more, waits so long
-  double decrease_threshold = 0.125,
-         increase_threshold = 0.25;  // changes of a share that are worth a version
-  int local_queue_advantage = 8;     // calls
-  double exploration_share = 0.01;
+  Time increase_delay = 10 * kSecond;  // before a table is proposed that only allows more
+  // Relative changes of a share that are worth a new version.
+  double decrease_threshold = 0.125;
+  double increase_threshold = 0.25;
+  int local_queue_advantage = 8;    // batches by which a local endpoint's queue may be longer
+  double exploration_share = 0.01;  // of the shard requests, sent to other zones to learn their state
 };
 
-// What was decided last, as the note of a version tells it.
+// The state and local share of every zone and region, as the note of a version holds them.
 struct FailoverDecision {
   struct Target {
     FailoverState state = FailoverState::kLocal;
     int local_share_thousandths = 1000;
   };
-  std::map<std::string, Target> zones, regions;  // no regions where there is but one
+  std::map<std::string, Target> zones, regions;  // no regions if there is only one
 };
-std::string text_of(const FailoverDecision& note);
-FailoverDecision parse_decision(const std::string& text);  // what can't be used of it is left out
+std::string text_of(const FailoverDecision& decision);
+FailoverDecision parse_decision(const std::string& text);  // leaves out what it cannot parse
 
-// An order for all zones of a region is one for this name; in notes it stands under it too.
+// The region's name in notes and operators' orders; an order for it is one for all its zones.
 std::string region_key(const std::string& region);
 
+// Why a zone or region is in its state, for operators.
 struct ZoneExplanation {
   std::string zone;  // or the key of a region
   FailoverState state;
   int local_share_thousandths;
-  std::string order;
+  std::string order;  // the operator's order in force; empty: none
   ZoneHealth health;
 };
 
 class ZoneFailover {
  public:
-  ZoneFailover(const ZoneFailoverOptions& terms, const std::string& self);
+  ZoneFailover(const ZoneFailoverOptions& options, const std::string& broker);
 
-  // Its own account.
-  void record_attempt_result(Time now, const std::string& zone, EndpointId host, AttemptOutcome how,
+  // Record what this broker does; see ZoneLoad.
+  void record_attempt_result(Time now, const std::string& zone, EndpointId endpoint, AttemptOutcome outcome,
                              Time latency);
-  void record_demand(Time now, double parts, double far) { account_.record_demand(now, parts, far); }
-  void set_endpoints(
-      const std::map<std::string, std::pair<int, double>>& by_zone);  // in service; warm ones' worth of them
-
-  Time next_report_at() const { return next_; }
-  std::optional<ZoneReport> make_due_report(Time now);  // for the voters, when it is due
-  void add_report(Time now, const std::string& from, ZoneReport report);
-  void remove_broker(const std::string& broker) { evidence_.remove_broker(broker); }
-
-  // Where this broker leads: called after each report, answers what is to be proposed. `book`: the leader's.
-  std::optional<shared_config::Entry> propose_change(Time now, const shared_config::Versions& book);
-  void stop_leading() { led_ = false; }
-
-  // What this broker acts on: the rules, and the note of the newest version it holds a lease on; none:
-  // without a lease. By number of the zones stated, its own the first.
+  void record_demand(Time now, double shard_requests, double remote_only) {
+    load_.record_demand(now, shard_requests, remote_only);
+  }
+  // By zone: the endpoints in service, and how many warm endpoints they are worth.
+  void set_endpoints(const std::map<std::string, std::pair<int, double>>& by_zone);
+
+  Time next_report_at() const { return next_report_at_; }
+  // Returns the report for the voters if it is due. This broker's own evaluation takes it in as well.
+  std::optional<ZoneReport> make_due_report(Time now);
+  // Takes the report of another broker. Ignores it if its home zone is not configured here.
+  void add_report(Time now, const std::string& broker, ZoneReport report);
+  void remove_broker(const std::string& broker) { evaluator_.remove_broker(broker); }
+
+  // Returns the entry to propose, if any. The leader calls this after each of its reports, with its versions.
+  std::optional<shared_config::Entry> propose_change(Time now, const shared_config::Versions& versions);
+  void stop_leading() { is_leading_ = false; }
+
+  // Returns the limits that this broker acts on, by zone number. `note` is that of the newest version that
+  // the broker holds a lease on, null without a lease.
   std::vector<ZoneLimit> zone_limits(const shared_config::Rules& rules, const std::string* note) const;
-  int zone_number(const std::string& zone) const;  // one past the last where it is not stated
-  const std::string& zone_name(int number) const;  // empty for that one: it tells nothing of any zone
-  const ZoneFailoverOptions& options() const { return terms_; }
+  // Zones are numbered, the home zone is 0. A zone that is not configured gets the number after the last.
+  int zone_number(const std::string& zone) const;
+  const std::string& zone_name(int number) const;  // empty for that number
+  const ZoneFailoverOptions& options() const { return options_; }
 
-  std::vector<ZoneExplanation> explain() const;  // as it decided last, where it leads
-  const ZoneHealthView& health_view() const { return view_; }
-  const std::string& reason() const { return why_; }  // nothing was proposed, or what
+  // The last decision of this broker as the leader, the health it was based on, and why it proposed a change
+  // or none.
+  std::vector<ZoneExplanation> explain() const;
+  const ZoneHealthView& health_view() const { return health_view_; }
+  const std::string& reason() const { return reason_; }
 
  private:
-  struct Had {
-    FailoverDecision note;
+  struct Previous {
+    FailoverDecision decision;
     shared_config::ZoneShares shares;
   };
-  bool worth_it(Time now, const Had& had, const FailoverDecision& note, const TrafficSplit& filled,
-                std::string& why);
-  const shared_config::Order* ordered(const std::string& zone_or_region) const;
-  void look_at_regions(Time now, std::vector<ZoneTraffic>& places, bool newest_in_force,
-                       const FailoverDecision& had, FailoverDecision& note);
-
-  std::string fresh_id(Time now);
-  ZoneFailoverOptions terms_;
-  std::string self_;
-  std::vector<std::string> order_;  // zones by number
-  std::map<std::string, const ZoneOptions*> stated_;
-  ZoneLoad account_;
-  ZoneHealthEvaluator evidence_;
-  ZoneHealthView view_;
-  std::map<std::string, FailoverStateMachine> courses_, regions_;
-  std::map<std::string, ZoneHealth> region_views_;
-  std::map<std::string, shared_config::Order> ordered_;
-  Time next_ = 0, changed_at_ = 0;
-  bool led_ = false;
-  std::uint64_t proposals_ = 0, waits_on_ = 0, waits_ground_ = 0;
-  Time waits_until_ = 0;
-  std::string why_;
+  // Whether the new decision and split differ enough from the previous; sets `reason` if they do.
+  bool is_worth_proposing(Time now, const Previous& previous, const FailoverDecision& decision,
+                          const TrafficSplit& split, std::string& reason);
+  const shared_config::Order* order_for(const std::string& zone_or_region) const;
+  void update_regions(Time now, std::vector<ZoneTraffic>& traffic, bool newest_is_in_force,
+                      const FailoverDecision& previous, FailoverDecision& decision);
+
+  std::string make_proposal_id(Time now);
+  ZoneFailoverOptions options_;
+  std::string broker_;
+  std::vector<std::string> zone_names_;  // by number
+  std::map<std::string, const ZoneOptions*> zone_options_;
+  ZoneLoad load_;
+  ZoneHealthEvaluator evaluator_;
+  ZoneHealthView health_view_;
+  std::map<std::string, FailoverStateMachine> zones_, regions_;
+  std::map<std::string, ZoneHealth> region_health_;
+  std::map<std::string, shared_config::Order> orders_;
+  Time next_report_at_ = 0;
+  Time changed_at_ = 0;
+  bool is_leading_ = false;
+  std::uint64_t proposals_ = 0;
+  std::uint64_t pending_base_ = 0;    // newest version when a table was proposed last
+  std::uint64_t pending_ground_ = 0;  // common ground when a lower one was proposed last
+  Time pending_until_ = 0;            // until then no proposal on the same base
+  std::string reason_;
 };
 
 }  // namespace cairnhub::zone_failover
--- a/src/zone_failover/zone_health.cpp
+++ b/src/zone_failover/zone_health.cpp
@@ -7,49 +7,64 @@
 
 namespace {
 
-constexpr std::size_t kReportersMost = 4096;
+constexpr std::size_t kMaxReportingBrokers = 4096;
+// A slow zone keeps at least this share of its brokers' demand.
+constexpr double kMinSlowSustainableShare = 0.25;
 
-double median(std::vector<double> v) {
-  if (v.empty()) return 0;
-  const auto mid = v.begin() + static_cast<std::ptrdiff_t>(v.size() / 2);
-  std::nth_element(v.begin(), mid, v.end());
-  return *mid;
+double median(std::vector<double> values) {
+  if (values.empty()) return 0;
+  const auto middle = values.begin() + static_cast<std::ptrdiff_t>(values.size() / 2);
+  std::nth_element(values.begin(), middle, values.end());
+  return *middle;
 }
 
-std::string said(const char* form, double a, double b) {
+std::string formatted(const char* format, double a, double b) {
   char text[160];
-  std::snprintf(text, sizeof text, form, a, b);
+  std::snprintf(text, sizeof text, format, a, b);
   return text;
 }
 
-// What one broker or several together say of a zone.
-struct Tally {
-  double few;  // parts a second under which what became of them tells nothing
-  double sent = 0, lost_parts = 0, refused_parts = 0, returned = 0, latency_sum = 0;
-  int tried = 0, down = 0;
-  explicit Tally(double few_parts) : few(few_parts) {}
-  Tally(double few_parts, const ZoneStats& r) : few(few_parts) { add(r); }
-  void add(const ZoneStats& r) {
-    sent += r.attempts_per_second, lost_parts += r.lost_per_second, refused_parts += r.rejected_per_second;
-    returned += r.responses_per_second, latency_sum += r.responses_per_second * r.mean_latency_seconds;
-    tried += r.endpoints_tried, down += r.endpoints_down;
+// Sum of what one or several brokers report of a zone.
+struct StatsSum {
+  double min_attempts;  // attempts per second from which the shares count
+  double attempts = 0;
+  double lost = 0;
+  double rejected = 0;
+  double responses = 0;
+  double latency_seconds = 0;
+  int endpoints_tried = 0;
+  int endpoints_down = 0;
+  explicit StatsSum(double min_attempts_per_second) : min_attempts(min_attempts_per_second) {}
+  StatsSum(double min_attempts_per_second, const ZoneStats& stats) : min_attempts(min_attempts_per_second) {
+    add(stats);
   }
-  bool many() const { return sent >= few; }
-  bool any() const { return many() || tried > 0; }
-  double refused() const { return many() ? refused_parts / sent : 0; }
-  // Hosts that lose what they are sent are hardly asked again, and tell by themselves; but one lost part at
-  // one of several hosts does not. Danger: it stays that host's last part for seconds, longer than any time
-  // of confirmation, and one late part in thousands moved a zone's traffic.
-  double lost() const {
-    const double silent = down > 1 || tried == 1 ? static_cast<double>(down) / tried : 0;
-    return std::max(many() ? lost_parts / sent : 0.0, silent);
+  void add(const ZoneStats& stats) {
+    attempts += stats.attempts_per_second;
+    lost += stats.lost_per_second;
+    rejected += stats.rejected_per_second;
+    responses += stats.responses_per_second;
+    latency_seconds += stats.responses_per_second * stats.mean_latency_seconds;
+    endpoints_tried += stats.endpoints_tried;
+    endpoints_down += stats.endpoints_down;
+  }
+  bool has_enough_attempts() const { return attempts >= min_attempts; }
+  bool has_evidence() const { return has_enough_attempts() || endpoints_tried > 0; }
+  double rejected_share() const { return has_enough_attempts() ? rejected / attempts : 0; }
+  // Endpoints that lose their attempts get hardly any more, so they count by themselves. One lost attempt at
+  // one of several endpoints does not count: it stays that endpoint's last attempt for seconds, longer than
+  // any confirmation time, so one late response in thousands would move the traffic of a zone.
+  double lost_share() const {
+    const double down_share = endpoints_down > 1 || endpoints_tried == 1
+                                  ? static_cast<double>(endpoints_down) / endpoints_tried
+                                  : 0;
+    return std::max(has_enough_attempts() ? lost / attempts : 0.0, down_share);
   }
 };
 
 }  // namespace
 
-const char* name_of(ZoneStatus look) {
-  switch (look) {
+const char* name_of(ZoneStatus status) {
+  switch (status) {
     case ZoneStatus::kUnknown:
       return "unknown";
     case ZoneStatus::kGood:
@@ -64,115 +79,134 @@
   return "?";
 }
 
-void ZoneHealthEvaluator::add_report(Time now, const std::string& from, ZoneReport report) {
-  if (reports_.size() >= kReportersMost && !reports_.count(from)) return;
+void ZoneHealthEvaluator::add_report(Time now, const std::string& broker, ZoneReport report) {
+  if (reports_.size() >= kMaxReportingBrokers && !reports_.count(broker)) return;
   report.received_at = now;
-  reports_[from] = std::move(report);
+  reports_[broker] = std::move(report);
 }
 
 ZoneHealthView ZoneHealthEvaluator::evaluate(Time now) const {
   ZoneHealthView view;
-  std::map<std::string, const ZoneReport*> live;
-  for (const auto& [broker, r] : reports_)
-    if (now - r.received_at <= terms_.max_report_age) live[broker] = &r;
-  // Who is ill itself: it finds every zone bad, and for each of them most others who see it find it good.
-  // Danger: one broker with a broken interface would have a sound zone emptied.
-  std::map<std::string, std::pair<int, int>> finds;  // by zone: who sees it, who finds it good
-  for (const auto& [broker, r] : live)
-    for (const auto& [zone, reading] : r->zones)
-      if (const Tally t(terms_.min_attempts_per_second, reading); t.any())
-        ++finds[zone].first, finds[zone].second += t.lost() < terms_.partial_loss_share;
-  for (const auto& [broker, r] : live) {
-    int bad = 0, seen = 0;
-    for (const auto& [zone, reading] : r->zones) {
-      const Tally t(terms_.min_attempts_per_second, reading);
-      if (!t.any()) continue;
+  std::map<std::string, const ZoneReport*> fresh;
+  for (const auto& [broker, report] : reports_)
+    if (now - report.received_at <= options_.max_report_age) fresh[broker] = &report;
+  // A broker is faulty if it finds every zone bad and most others that see these zones find them good.
+  // Without this check one broker with a broken network interface would empty a healthy zone.
+  std::map<std::string, std::pair<int, int>> verdicts;  // by zone: brokers that see it, that find it good
+  for (const auto& [broker, report] : fresh)
+    for (const auto& [zone, stats] : report->zones)
+      if (const StatsSum sum(options_.min_attempts_per_second, stats); sum.has_evidence()) {
+        ++verdicts[zone].first;
+        verdicts[zone].second += sum.lost_share() < options_.partial_loss_share;
+      }
+  for (const auto& [broker, report] : fresh) {
+    int bad = 0;
+    int seen = 0;
+    for (const auto& [zone, stats] : report->zones) {
+      const StatsSum sum(options_.min_attempts_per_second, stats);
+      if (!sum.has_evidence()) continue;
       ++seen;
-      if (t.lost() < terms_.partial_loss_share) continue;
-      const auto& [all, good] = finds[zone];
+      if (sum.lost_share() < options_.partial_loss_share) continue;
+      const auto& [all, good] = verdicts[zone];
       bad += 2 * good > all - 1;
     }
     if (seen >= 2 && bad == seen) view.outvoted_brokers.push_back(broker);
   }
-  for (const auto& broker : view.outvoted_brokers) live.erase(broker);
+  for (const auto& broker : view.outvoted_brokers) fresh.erase(broker);
 
-  // By home and zone: what its brokers say together.
-  std::map<std::pair<std::string, std::string>, Tally> pairs;
-  std::map<std::string, std::vector<double>> hosts, capacity;
-  for (const auto& [broker, r] : live) {
-    ZoneHealth& home = view.zones[r->home_zone];
-    home.demand_per_second += r->demand_per_second,
-        home.remote_only_demand_per_second += r->remote_only_demand_per_second, ++home.reporting_brokers;
-    for (const auto& [zone, reading] : r->zones) {
-      view.zones[zone].load_per_second += reading.load_per_second;
-      hosts[zone].push_back(reading.endpoints_in_service),
-          capacity[zone].push_back(reading.capacity_per_second);
-      pairs.try_emplace({r->home_zone, zone}, terms_.min_attempts_per_second).first->second.add(reading);
+  // By home zone and observed zone: the sum over the brokers at home there.
+  std::map<std::pair<std::string, std::string>, StatsSum> sums;
+  std::map<std::string, std::vector<double>> endpoints;
+  std::map<std::string, std::vector<double>> capacities;
+  for (const auto& [broker, report] : fresh) {
+    ZoneHealth& home = view.zones[report->home_zone];
+    home.demand_per_second += report->demand_per_second;
+    home.remote_only_demand_per_second += report->remote_only_demand_per_second;
+    ++home.reporting_brokers;
+    for (const auto& [zone, stats] : report->zones) {
+      view.zones[zone].load_per_second += stats.load_per_second;
+      endpoints[zone].push_back(stats.endpoints_in_service);
+      capacities[zone].push_back(stats.capacity_per_second);
+      sums.try_emplace({report->home_zone, zone}, options_.min_attempts_per_second).first->second.add(stats);
     }
   }
-  const auto pair = [&](const std::string& from, const std::string& to) -> const Tally* {
-    const auto it = pairs.find({from, to});
-    return it == pairs.end() || !it->second.any() ? nullptr : &it->second;
+  const auto sum_of = [&](const std::string& from, const std::string& to) -> const StatsSum* {
+    const auto it = sums.find({from, to});
+    return it == sums.end() || !it->second.has_evidence() ? nullptr : &it->second;
   };
-  std::map<std::string, double> own_latency;
-  for (const auto& [zone, z] : view.zones)
-    if (const Tally* p = pair(zone, zone); p && p->many() && p->returned > 0)
-      own_latency[zone] = p->latency_sum / p->returned;
+  std::map<std::string, double> local_latency;  // of each zone as its own brokers measure it
+  for (const auto& [zone, health] : view.zones)
+    if (const StatsSum* sum = sum_of(zone, zone); sum && sum->has_enough_attempts() && sum->responses > 0)
+      local_latency[zone] = sum->latency_seconds / sum->responses;
 
-  for (auto& [zone, z] : view.zones) {
-    z.endpoints_in_service = static_cast<int>(median(hosts[zone])),
-    z.capacity_per_second = median(capacity[zone]);
-    const Tally* own = pair(zone, zone);
-    int see = 0, find_dead = 0, find_bad = 0, find_full = 0, find_alive = 0;
+  for (auto& [zone, health] : view.zones) {
+    health.endpoints_in_service = static_cast<int>(median(endpoints[zone]));
+    health.capacity_per_second = median(capacities[zone]);
+    const StatsSum* own = sum_of(zone, zone);
+    // How many zones have brokers that see this one, and that find it dead, bad, full or alive.
+    int see = 0;
+    int find_dead = 0;
+    int find_bad = 0;
+    int find_full = 0;
+    int find_alive = 0;
     for (const auto& [home, ignored] : view.zones) {
-      const Tally* p = pair(home, zone);
-      if (!p) continue;
+      const StatsSum* sum = sum_of(home, zone);
+      if (!sum) continue;
       ++see;
-      find_dead += p->lost() >= terms_.dead_loss_share, find_bad += p->lost() >= terms_.partial_loss_share;
-      find_full += p->refused() >= terms_.overload_rejected_share;
-      // Only one that has asked a good deal lately speaks for its life: what was good a while ago says
-      // nothing.
-      find_alive += p->many() && p->lost_parts / p->sent < terms_.dead_loss_share;
+      find_dead += sum->lost_share() >= options_.dead_loss_share;
+      find_bad += sum->lost_share() >= options_.partial_loss_share;
+      find_full += sum->rejected_share() >= options_.overload_rejected_share;
+      // Only enough recent attempts prove that a zone is alive; a good result some time ago proves nothing.
+      find_alive += sum->has_enough_attempts() && sum->lost / sum->attempts < options_.dead_loss_share;
     }
-    if (see == 0) continue;  // unknown
-    const double own_lost = own ? own->lost() : 2 * find_bad > see ? 1 : 0;
-    const double own_refused = own ? own->refused() : 0;
-    if (own_lost >= terms_.dead_loss_share && find_alive == 0 && (own || 2 * find_dead > see)) {
-      z.status = ZoneStatus::kDead, z.sustainable_share = 0;
-      z.reason = said("%.0f of %.0f zones that see it lose most of their parts there", find_dead, see);
+    if (see == 0) continue;  // the status stays kUnknown
+    const double own_lost_share = own ? own->lost_share() : 2 * find_bad > see ? 1 : 0;
+    const double own_rejected_share = own ? own->rejected_share() : 0;
+    if (own_lost_share >= options_.dead_loss_share && find_alive == 0 && (own || 2 * find_dead > see)) {
+      health.status = ZoneStatus::kDead;
+      health.sustainable_share = 0;
+      health.reason =
+          formatted("%.0f of %.0f zones that see it lose most of their parts there", find_dead, see);
       continue;
     }
     for (const auto& [home, ignored] : view.zones) {
-      const Tally* p = pair(home, zone);
-      if (p && home != zone && p->lost() >= terms_.dead_loss_share) view.broken_links.insert({home, zone});
+      const StatsSum* sum = sum_of(home, zone);
+      if (sum && home != zone && sum->lost_share() >= options_.dead_loss_share)
+        view.broken_links.insert({home, zone});
     }
-    // Slow beside the other zones, as their own brokers find them. Where all are slow there is nowhere
-    // better.
-    std::vector<double> others;
-    for (const auto& [name, l] : own_latency)
-      if (name != zone) others.push_back(l);
-    const double usual = median(others), mine = own_latency.count(zone) ? own_latency[zone] : 0;
-    if (own && own_lost >= terms_.partial_loss_share) {
-      z.status = ZoneStatus::kPartial, z.sustainable_share = 1 - own_lost;
-      z.reason = said("%.0f%% of the parts or hosts of its own brokers are lost; %.0f zones find it bad",
-                      100 * own_lost, find_bad);
-    } else if (own_refused >= terms_.overload_rejected_share || (!own && 2 * find_full > see)) {
-      z.status = ZoneStatus::kOverloaded, z.sustainable_share = 1 - own_refused;
-      z.reason =
-          said("its hosts turn %.0f%% of the parts away; %.0f zones say so", 100 * own_refused, find_full);
-    } else if (z.capacity_per_second > 0 &&
-               z.load_per_second > terms_.overload_capacity_share * z.capacity_per_second) {
-      z.status = ZoneStatus::kOverloaded,
-      z.sustainable_share = terms_.overload_capacity_share * z.capacity_per_second / z.load_per_second;
-      z.reason =
-          said("%.0f parts a second come to what bears %.0f", z.load_per_second, z.capacity_per_second);
-    } else if (usual > 0 && mine > terms_.overload_latency_ratio * usual) {
-      z.status = ZoneStatus::kOverloaded,
-      z.sustainable_share = std::max(0.25, usual * terms_.overload_latency_ratio / mine);
-      z.reason = said("%.1f ms a part where other zones take %.1f", 1000 * mine, 1000 * usual);
+    // A zone is slow only in comparison: if all zones are slow, moving its traffic would not help.
+    std::vector<double> other_latencies;
+    for (const auto& [name, latency] : local_latency)
+      if (name != zone) other_latencies.push_back(latency);
+    const double usual_latency = median(other_latencies);
+    const double own_latency = local_latency.count(zone) ? local_latency[zone] : 0;
+    if (own && own_lost_share >= options_.partial_loss_share) {
+      health.status = ZoneStatus::kPartial;
+      health.sustainable_share = 1 - own_lost_share;
+      health.reason =
+          formatted("%.0f%% of the parts or hosts of its own brokers are lost; %.0f zones find it bad",
+                    100 * own_lost_share, find_bad);
+    } else if (own_rejected_share >= options_.overload_rejected_share || (!own && 2 * find_full > see)) {
+      health.status = ZoneStatus::kOverloaded;
+      health.sustainable_share = 1 - own_rejected_share;
+      health.reason = formatted("its hosts turn %.0f%% of the parts away; %.0f zones say so",
+                                100 * own_rejected_share, find_full);
+    } else if (health.capacity_per_second > 0 &&
+               health.load_per_second > options_.overload_capacity_share * health.capacity_per_second) {
+      health.status = ZoneStatus::kOverloaded;
+      health.sustainable_share =
+          options_.overload_capacity_share * health.capacity_per_second / health.load_per_second;
+      health.reason = formatted("%.0f parts a second come to what bears %.0f", health.load_per_second,
+                                health.capacity_per_second);
+    } else if (usual_latency > 0 && own_latency > options_.overload_latency_ratio * usual_latency) {
+      health.status = ZoneStatus::kOverloaded;
+      health.sustainable_share =
+          std::max(kMinSlowSustainableShare, usual_latency * options_.overload_latency_ratio / own_latency);
+      health.reason =
+          formatted("%.1f ms a part where other zones take %.1f", 1000 * own_latency, 1000 * usual_latency);
     } else if (own || see > static_cast<int>(view.broken_links.size())) {
-      z.status = ZoneStatus::kGood;
-      z.reason = said("%.0f%% lost, %.0f zones see it", 100 * own_lost, see);
+      health.status = ZoneStatus::kGood;
+      health.reason = formatted("%.0f%% lost, %.0f zones see it", 100 * own_lost_share, see);
     }
   }
   return view;
--- a/src/zone_failover/zone_health.h
+++ b/src/zone_failover/zone_health.h
@@ -1,9 +1,13 @@
-// What the accounts of all brokers tell of zones, held against each other. No I/O and no clock.
+// Judges the health of each zone by comparing the reports of all brokers. Does no I/O and reads no clock.
 //
-// It tells apart: hosts of a zone dead (all who see it say so, its own brokers among them), a link cut (only
-// those across it say so), a zone with more than it bears, a zone that fails in part, and a reporter that is
-// itself ill (it finds all zones bad that others find good: outvoted and named). Where all zones are alike
-// slow nothing is wrong with any of them.
+// It distinguishes these causes of lost attempts:
+// - dead endpoints: all brokers that see the zone lose their attempts, its own brokers among them;
+// - a broken link: only the brokers across the link lose their attempts;
+// - a partial failure: the zone's own brokers lose a part of their attempts;
+// - a faulty broker: it finds every zone bad that others find good, so it is outvoted and named.
+//
+// A zone is overloaded if it rejects attempts, exceeds its capacity or is slower than the other zones. If all
+// zones are equally slow, none of them is overloaded.
 #pragma once
 #include <map>
 #include <set>
@@ -15,56 +19,60 @@
 namespace cairnhub::zone_failover {
 
 struct ZoneHealthOptions {
-  Time max_report_age = 3 * kSecond / 2;  // older reports don't count
-  double min_attempts_per_second = 10;    // parts a second under which what became of them tells nothing
-  // Shares of parts lost: from the least on a zone fails in part, from the most on it is dead.
-  double partial_loss_share = 0.1, dead_loss_share = 0.7;
-  double overload_rejected_share =
-      0.05;                           // share turned away by full hosts, from which on a zone bears too much
-  double overload_latency_ratio = 3;  // times the latency of the other zones
-  double overload_capacity_share = 0.95;  // of the capacity
+  Time max_report_age = 3 * kSecond / 2;  // older reports are ignored
+  double min_attempts_per_second = 10;    // fewer say nothing about the shares that are lost or rejected
+  // Share of attempts lost from which a zone is partial, and from which it is dead.
+  double partial_loss_share = 0.1;
+  double dead_loss_share = 0.7;
+  // A zone is overloaded from this share of rejected attempts on, above this multiple of the other zones'
+  // median latency, or above this share of its capacity.
+  double overload_rejected_share = 0.05;
+  double overload_latency_ratio = 3;
+  double overload_capacity_share = 0.95;
 };
 
 enum class ZoneStatus { kUnknown, kGood, kOverloaded, kPartial, kDead };
-const char* name_of(ZoneStatus look);
+// The name in JSON and in reasons: unknown, good, over, partial, dead.
+const char* name_of(ZoneStatus status);
 
+// What one broker reports; zone_report.h holds its encoding.
 struct ZoneReport {
   std::string home_zone;
-  Time received_at = 0;          // when it was heard
-  double demand_per_second = 0;  // parts a second
-  double remote_only_demand_per_second =
-      0;  // of them, those whose shard has no holder in service in its home
+  Time received_at = 0;
+  double demand_per_second = 0;              // shard requests of its clients
+  double remote_only_demand_per_second = 0;  // part of the demand, without a replica in the home zone
   std::map<std::string, ZoneStats> zones;
 };
 
 struct ZoneHealth {
   ZoneStatus status = ZoneStatus::kUnknown;
-  double demand_per_second = 0;              // parts a second that its brokers' clients ask for
-  double remote_only_demand_per_second = 0;  // of them, those whose shard has no holder there
-  double load_per_second = 0;                // parts a second that came to its hosts
+  double demand_per_second = 0;              // shard requests of the clients of its brokers
+  double remote_only_demand_per_second = 0;  // part of the demand, without a replica in the zone
+  double load_per_second = 0;                // attempts that its endpoints got from all brokers
   double capacity_per_second = 0;            // 0: not known
-  double sustainable_share =
-      1;  // share of what its brokers ask for that it can bear, where it is over or fails in part
-  int reporting_brokers = 0, endpoints_in_service = 0;  // brokers that report; hosts in service
-  std::string reason;                                   // one line
+  double sustainable_share = 1;              // of its brokers' demand; counts if overloaded or partial
+  int reporting_brokers = 0;
+  int endpoints_in_service = 0;
+  std::string reason;  // one line
 };
 
 struct ZoneHealthView {
   std::map<std::string, ZoneHealth> zones;
-  std::set<std::pair<std::string, std::string>>
-      broken_links;                           // from the brokers of one to the hosts of the other
-  std::vector<std::string> outvoted_brokers;  // reporters
+  // From the brokers of the first zone to the endpoints of the second.
+  std::set<std::pair<std::string, std::string>> broken_links;
+  std::vector<std::string> outvoted_brokers;
 };
 
 class ZoneHealthEvaluator {
  public:
-  explicit ZoneHealthEvaluator(const ZoneHealthOptions& terms) : terms_(terms) {}
-  void add_report(Time now, const std::string& from, ZoneReport report);
+  explicit ZoneHealthEvaluator(const ZoneHealthOptions& options) : options_(options) {}
+  // Replaces the broker's last report. Reports of new brokers beyond a fixed number are dropped.
+  void add_report(Time now, const std::string& broker, ZoneReport report);
   void remove_broker(const std::string& broker) { reports_.erase(broker); }
   ZoneHealthView evaluate(Time now) const;
 
  private:
-  ZoneHealthOptions terms_;
+  ZoneHealthOptions options_;
   std::map<std::string, ZoneReport> reports_;  // by broker
 };
 
--- a/src/zone_failover/zone_load.h
+++ b/src/zone_failover/zone_load.h
@@ -1,5 +1,5 @@
-// A broker's own account of its parts by zone: what it sent, what came of it, how long it took; aged, so that
-// it tells of the last seconds. No I/O and no clock.
+// Counts the results of one broker's attempts by zone. The counts decay exponentially, so that they describe
+// the last seconds. Does no I/O and reads no clock.
 #pragma once
 #include <map>
 #include <string>
@@ -11,65 +11,74 @@
 
 constexpr std::size_t kMaxZones = 64;
 
-// What one broker says of one zone. Rates are a second.
+// What one broker measured of one zone. Rates count attempts per second.
 struct ZoneStats {
-  double attempts_per_second = 0;   // parts that ended one way or the other
-  double responses_per_second = 0;  // errors among them: whoever errs is there
-  double rejected_per_second = 0;   // turned away as the host was full
-  double lost_per_second = 0;       // broken, silent
-  double mean_latency_seconds = 0;  // of those returned, seconds, mean
-  // Parts a second that its hosts in service surely bear, cold ones by their share; 0: not known.
+  double attempts_per_second = 0;   // that ended, whatever the result
+  double responses_per_second = 0;  // with errors: an endpoint that returns an error is alive
+  double rejected_per_second = 0;   // because the endpoint's queue was full
+  double lost_per_second = 0;       // connection broken, or no response
+  double mean_latency_seconds = 0;  // of the responses
+  // What the endpoints in service can handle, those in slow start by their present share; 0: not known.
   double capacity_per_second = 0;
-  int endpoints_in_service = 0;  // in service
-  int endpoints_tried = 0;       // hosts that were sent anything lately
-  int endpoints_down = 0;        // of them, those whose last part was lost: they are hardly asked any more
-  double load_per_second = 0;    // parts sent, over a longer time
+  int endpoints_in_service = 0;
+  int endpoints_tried = 0;     // that were sent an attempt recently
+  int endpoints_down = 0;      // tried, and lost the last attempt; these get hardly any further attempts
+  double load_per_second = 0;  // attempts, averaged over ten windows
 };
 
 enum class AttemptResult { kResponded, kRejected, kLost, kCancelled };
 
 class ZoneLoad {
  public:
-  // `window`: of what came of parts; how many there are is counted over ten of them.
+  // Results are averaged over `window`, demand and load over ten of them.
   explicit ZoneLoad(Time window) : window_(window) {}
 
-  void record_attempt_result(Time now, const std::string& zone, EndpointId host, AttemptResult how,
+  void record_attempt_result(Time now, const std::string& zone, EndpointId endpoint, AttemptResult result,
                              Time latency);
-  // Of what clients ask for, whatever becomes of it: parts, and of them those whose shard has no holder in
-  // service here.
-  void record_demand(Time now, double parts, double far);
-  void set_endpoints(const std::string& zone, int hosts, double capacity);
-  void clear_endpoints();  // before they are told anew
+  // Records what clients request, whatever becomes of it: `shard_requests` in all, and `remote_only` of them
+  // for shards without a replica in service in the home zone.
+  void record_demand(Time now, double shard_requests, double remote_only);
+  void set_endpoints(const std::string& zone, int endpoints_in_service, double capacity_per_second);
+  // Forgets all endpoints in service; called before set_endpoints() for each zone.
+  void clear_endpoints();
 
   std::map<std::string, ZoneStats> zone_stats(Time now) const;
   double demand_per_second(Time now) const {
-    return asked_ * fade(asked_at_, now, slow()) / seconds(slow());
-  }  // a second
-  // Of it, what has no near holder: over the longer time or lately, whichever is more.
+    return demand_ * decay(demand_at_, now, long_window()) / seconds(long_window());
+  }
+  // Demand without a local replica. Uses the share over the long or the short window, whichever is higher.
   double remote_only_demand_per_second(Time now) const;
 
  private:
-  struct Sums {
-    Time at = 0;
-    double sent = 0, returned = 0, refused = 0, lost = 0, latency = 0, load = 0;
-    struct Last {
-      Time at = 0;
-      bool lost = false;
+  struct ZoneCounts {
+    Time updated_at = 0;
+    double attempts = 0;
+    double responses = 0;
+    double rejected = 0;
+    double lost = 0;
+    double latency_seconds = 0;
+    double load = 0;
+    struct LastAttempt {
+      Time ended_at = 0;
+      bool is_lost = false;
     };
-    std::map<EndpointId, Last> last;  // of each host lately tried
-    double usual = 0;                 // seconds, smoothed over many
-    int hosts = 0;
-    double capacity = 0;
-    Time swept = 0;
+    std::map<EndpointId, LastAttempt> last_attempts;  // of endpoints tried recently
+    double usual_latency_seconds = 0;                 // smoothed over many responses
+    int endpoints_in_service = 0;
+    double capacity_per_second = 0;
+    Time swept_at = 0;
   };
-  double fade(Time from, Time now, Time window) const;
-  Time slow() const { return 10 * window_; }
-  Sums* of(const std::string& zone);
+  double decay(Time from, Time now, Time window) const;
+  Time long_window() const { return 10 * window_; }
+  // Returns null for an empty name, or a new one beyond kMaxZones.
+  ZoneCounts* find_or_add(const std::string& zone);
   Time window_;
-  std::map<std::string, Sums> zones_;  // as many as kMaxZones
-  double asked_ = 0, far_ = 0;         // over the longer time
-  double asked_lately_ = 0, far_lately_ = 0;
-  Time asked_at_ = 0;
+  std::map<std::string, ZoneCounts> zones_;  // at most kMaxZones
+  double demand_ = 0;                        // over the long window
+  double remote_only_demand_ = 0;
+  double recent_demand_ = 0;  // over the short window
+  double recent_remote_only_demand_ = 0;
+  Time demand_at_ = 0;
 };
 
 }  // namespace cairnhub::zone_failover
--- a/tests/cluster/zone_world.h
+++ b/tests/cluster/zone_world.h
@@ -1,7 +1,6 @@
-// Zones of hosts, brokers at home in them and what their clients ask for, as flows of parts over steps of a
-// tenth of a second, from one seed. The deciding classes are the program's own (Zones with its evidence,
-// courses and shares; the book of versions); what a broker does on its own is as the decision module does it,
-// in flows.
+// Simulates brokers and endpoints in zones as flows of shard requests, in steps of a tenth of a second, from
+// one seed. The decisions are made by the program's own classes (ZoneFailover, Versions); a broker's own
+// routing is modelled after the policy module.
 #pragma once
 #include <algorithm>
 #include <cmath>
@@ -18,103 +17,139 @@
 
 namespace cairnhub::cluster {
 
-enum class Policy { common, alone, before, told };  // told: sees the true state, 1.5 s late
+enum class Policy {
+  kSharedTable,  // all brokers act on one table, as the program does
+  kIndependent,  // each broker decides alone
+  kZoneUnaware,  // traffic is spread evenly over the endpoints of all zones
+  kOracle,       // the split is computed from the true state, 1.5 s late
+};
 
 struct ZoneWorldSize {
-  int brokers = 300, hosts = 200, zones = 6, regions = 2;
+  int brokers = 300, endpoints = 200, zones = 6, regions = 2;
 };
 
 struct ZoneRun {
-  double asked = 0, served = 0;
-  double calm_crossing = 0;  // share of parts before the first fault
-  double over = 0;  // zone-seconds in which a zone was given more than it bears, others' parts among it
-  int versions = 0, turns = 0;  // turns: a zone's share that fell after it had risen
+  double requested = 0;
+  double served = 0;
+  double fault_free_cross_zone_share = 0;  // of the shard requests, before the first fault
+  double overload_seconds = 0;             // over all zones, while other zones added to the overload
+  int versions = 0;
+  int reversals = 0;  // times that the local share of a zone fell after it had risen
   int faults = 0;
 };
 
 class ZoneWorld {
  public:
   ZoneWorld(std::uint64_t seed, const ZoneWorldSize& size, Policy policy)
-      : chance_(static_cast<std::mt19937::result_type>(seed)), size_(size), policy_(policy) {
+      : random_(static_cast<std::mt19937::result_type>(seed)), size_(size), policy_(policy) {
     const auto n = static_cast<std::size_t>(size.zones);
     for (int z = 0; z < size.zones; ++z) {
       zone_failover::ZoneOptions zone;
-      zone.name = name(z), zone.region = "r" + std::to_string(z * size.regions / size.zones);
-      zone.endpoint_capacity_per_second = kHost;
-      stated_.push_back(zone);
-      hosts_.push_back(size.hosts / size.zones + (z < size.hosts % size.zones));
+      zone.name = name(z);
+      zone.region = "r" + std::to_string(z * size.regions / size.zones);
+      zone.endpoint_capacity_per_second = kEndpointCapacityPerSecond;
+      zone_options_.push_back(zone);
+      endpoints_.push_back(size.endpoints / size.zones + (z < size.endpoints % size.zones));
     }
-    true_.resize(n);
-    for (std::size_t z = 0; z < n; ++z) true_[z].wanted = hosts_[z] * kHost * (0.45 + 0.3 * unit());
+    zones_.resize(n);
+    for (std::size_t z = 0; z < n; ++z)
+      zones_[z].demand = endpoints_[z] * kEndpointCapacityPerSecond * (0.45 + 0.3 * unit());
     brokers_.resize(static_cast<std::size_t>(size.brokers));
     for (std::size_t b = 0; b < brokers_.size(); ++b) {
       brokers_[b].home = b % n;
-      brokers_[b].limit.assign(n, 0.03), brokers_[b].heard.assign(n, {}), brokers_[b].flow.assign(n, 0);
-      brokers_[b].delay = static_cast<int>(1 + below(4));
-      if (unit() < 0.03) brokers_[b].delay = 20;  // told late, as its lease ends
+      brokers_[b].limits.assign(n, kMinShareThousandths / 1000.0);
+      brokers_[b].observed.assign(n, {});
+      brokers_[b].flow.assign(n, 0);
+      brokers_[b].delay_steps = static_cast<int>(1 + below(4));
+      if (unit() < 0.03) brokers_[b].delay_steps = 20;  // gets the table only when its lease ends
     }
-    for (std::size_t z = 0; z < n; ++z) seen_.push_back({});
+    for (std::size_t z = 0; z < n; ++z) last_shares_.push_back({});
     draw_faults();
-    zone_failover::ZoneFailoverOptions t;
-    t.home_zone = name(0), t.zones = stated_, t.report_interval = kSecond / 4,
-    t.health.max_report_age = kSecond;
-    zones_ = std::make_unique<zone_failover::ZoneFailover>(t, "b0");
+    zone_failover::ZoneFailoverOptions options;
+    options.home_zone = name(0);
+    options.zones = zone_options_;
+    options.report_interval = kSecond / 4;
+    options.health.max_report_age = kSecond;
+    leader_ = std::make_unique<zone_failover::ZoneFailover>(options, "b0");
     shared_config::Entry ground;
-    ground.kind = shared_config::Entry::Kind::propose_ground, ground.id = "g", ground.base = 1;
+    ground.kind = shared_config::Entry::Kind::propose_ground;
+    ground.id = "g";
+    ground.base = 1;
     ground.text = "zone_shares { otherwise: 30 }";
-    book_.apply(ground);
-    ground.kind = shared_config::Entry::Kind::force_ground, ground.number = 2;
-    book_.apply(ground);
+    versions_.apply(ground);
+    ground.kind = shared_config::Entry::Kind::force_ground;
+    ground.number = 2;
+    versions_.apply(ground);
   }
 
-  ZoneRun play(int seconds_long = 120) {
-    for (step_ = 0; step_ < seconds_long * 10; ++step_) {
-      happen();
+  ZoneRun run(int duration_seconds = 120) {
+    for (step_ = 0; step_ < duration_seconds * kStepsPerSecond; ++step_) {
+      apply_faults();
       serve();
-      if (step_ % 2 == 0 && policy_ == Policy::common) decide();
-      if (policy_ == Policy::told) tell();
+      if (step_ % 2 == 0 && policy_ == Policy::kSharedTable) decide();
+      if (policy_ == Policy::kOracle) apply_oracle_split();
     }
     return run_;
   }
 
  private:
-  static constexpr double kHost = 100;  // parts a second
-  struct Truth {
-    double wanted = 0, worth = 1, lost = 0, slow = 1, surge = 1;
-    bool dead = false, brokers_dead = false;
-    int since = -1000;  // step at which it came back: cold
+  static constexpr double kEndpointCapacityPerSecond = 100;
+  static constexpr int kMinShareThousandths = 30;
+  static constexpr int kStepsPerSecond = 10;
+  static constexpr int kFirstFaultStep = 150;
+  static constexpr std::size_t kOracleDelaySteps = 15;
+  static constexpr std::size_t kMaxTables = 40;
+
+  struct ZoneState {
+    double demand = 0;          // per second, without a surge
+    double capacity_share = 1;  // endpoints that are left
+    double lost_share = 0;
+    double slowdown = 1;
+    double surge = 1;
+    bool is_dead = false;
+    bool has_dead_brokers = false;
+    int recovered_at = -1000;  // step; the endpoints start cold
   };
-  struct Heard {              // by a broker of a zone: what the module would know
-    int bad = 0, good = 100;  // steps
-    double sent = 0, lost = 0, refused = 0, load = 0;
-    bool shunned = false;
+  // What a broker knows of a zone.
+  struct Observed {
+    int bad_steps = 0;
+    int good_steps = 100;
+    double sent = 0;
+    double lost = 0;
+    double rejected_share = 0;
+    double load = 0;
+    bool is_avoided = false;
   };
   struct Broker {
     std::size_t home = 0;
-    std::vector<double> limit, flow;
-    std::vector<Heard> heard;
-    double stay = 1;
-    int delay = 1;
-    bool ill = false;
+    std::vector<double> limits, flow;  // by zone
+    std::vector<Observed> observed;
+    double local_share = 1;
+    int delay_steps = 1;
+    bool is_faulty = false;
   };
   struct Fault {
     int kind, zone, other, from, until;
   };
   struct Table {
-    int at;
+    int made_at;  // step
     shared_config::ZoneShares shares;
-    zone_failover::FailoverDecision note;
+    zone_failover::FailoverDecision decision;
+  };
+  struct LastShare {
+    int share = 0;
+    bool has_risen = false;
   };
   static std::string name(int z) {
     return std::string(1, static_cast<char>('a' + z % 26)) + std::to_string(z);
   }
-  double unit() { return std::uniform_real_distribution<double>()(chance_); }
-  std::size_t below(std::size_t n) { return chance_() % n; }
+  double unit() { return std::uniform_real_distribution<double>()(random_); }
+  std::size_t below(std::size_t n) { return random_() % n; }
 
   void draw_faults() {
     const int n = 1 + static_cast<int>(below(3));
     for (int k = 0; k < n; ++k) {
-      const int from = 150 + static_cast<int>(below(400));
+      const int from = kFirstFaultStep + static_cast<int>(below(400));
       faults_.push_back({static_cast<int>(below(10)),
                          static_cast<int>(below(static_cast<std::size_t>(size_.zones))),
                          static_cast<int>(below(static_cast<std::size_t>(size_.zones))), from,
@@ -122,227 +157,268 @@
     }
     run_.faults = n;
   }
-  void happen() {
-    for (Truth& t : true_) t.lost = 0, t.slow = t.surge = t.worth = 1, t.brokers_dead = false;
-    cut_.clear();
-    for (Broker& b : brokers_) b.ill = false;
-    std::vector<bool> dead(true_.size(), false);
-    for (const Fault& f : faults_) {
-      if (step_ < f.from || step_ >= f.until) continue;
-      Truth& t = true_[static_cast<std::size_t>(f.zone)];
-      switch (f.kind) {
-        case 0:  // its hosts die
-          dead[static_cast<std::size_t>(f.zone)] = true;
+  void apply_faults() {
+    for (ZoneState& zone : zones_) {
+      zone.lost_share = 0;
+      zone.slowdown = zone.surge = zone.capacity_share = 1;
+      zone.has_dead_brokers = false;
+    }
+    broken_links_.clear();
+    for (Broker& broker : brokers_) broker.is_faulty = false;
+    std::vector<bool> dead(zones_.size(), false);
+    for (const Fault& fault : faults_) {
+      if (step_ < fault.from || step_ >= fault.until) continue;
+      ZoneState& zone = zones_[static_cast<std::size_t>(fault.zone)];
+      switch (fault.kind) {
+        case 0:  // the endpoints of the zone die
+          dead[static_cast<std::size_t>(fault.zone)] = true;
           break;
-        case 1:  // they flap each three seconds
-          if ((step_ - f.from) / 30 % 2 == 0) dead[static_cast<std::size_t>(f.zone)] = true;
+        case 1:  // the endpoints flap every three seconds
+          if ((step_ - fault.from) / 30 % 2 == 0) dead[static_cast<std::size_t>(fault.zone)] = true;
           break;
-        case 2:  // a link is cut
-          if (f.other != f.zone)
-            cut_.insert({static_cast<std::size_t>(f.other), static_cast<std::size_t>(f.zone)});
+        case 2:  // a link between two zones breaks
+          if (fault.other != fault.zone)
+            broken_links_.insert(
+                {static_cast<std::size_t>(fault.other), static_cast<std::size_t>(fault.zone)});
           break;
         case 3:
-          t.lost = 0.3;
+          zone.lost_share = 0.3;
           break;
         case 4:
-          t.slow = 2.5;
+          zone.slowdown = 2.5;
           break;
-        case 5:  // all of them, as something they share is slow
-          for (Truth& all : true_) all.slow = 1.2;
+        case 5:  // all zones are slow, as a common dependency is
+          for (ZoneState& any : zones_) any.slowdown = 1.2;
           break;
         case 6:
-          t.surge = 1.6;
+          zone.surge = 1.6;
           break;
-        case 7:
+        case 7:  // up to three brokers lose all their attempts
           for (std::size_t b = 0; b < 3 && b < brokers_.size(); ++b)
-            brokers_[(static_cast<std::size_t>(f.zone) + b * 7) % brokers_.size()].ill = true;
+            brokers_[(static_cast<std::size_t>(fault.zone) + b * 7) % brokers_.size()].is_faulty = true;
           break;
-        case 8:  // lost whole: hosts and brokers
-          dead[static_cast<std::size_t>(f.zone)] = t.brokers_dead = true;
+        case 8:  // the endpoints and brokers of the zone die
+          dead[static_cast<std::size_t>(fault.zone)] = zone.has_dead_brokers = true;
           break;
-        default:  // half of its hosts are gone from the list
-          t.worth = 0.5;
+        default:  // half of the endpoints leave the endpoint list
+          zone.capacity_share = 0.5;
       }
     }
-    for (std::size_t z = 0; z < true_.size(); ++z) {
-      if (true_[z].dead && !dead[z]) true_[z].since = step_;
-      true_[z].dead = dead[z];
+    for (std::size_t z = 0; z < zones_.size(); ++z) {
+      if (zones_[z].is_dead && !dead[z]) zones_[z].recovered_at = step_;
+      zones_[z].is_dead = dead[z];
     }
   }
-  double bears(std::size_t z) const {
-    const Truth& t = true_[z];
-    if (t.dead) return 0;
-    const double cold = std::min(1.0, 0.2 + 0.8 * (step_ - t.since) / 100.0);
-    return hosts_[z] * kHost * t.worth / t.slow * cold;
+  double capacity(std::size_t z) const {
+    const ZoneState& zone = zones_[z];
+    if (zone.is_dead) return 0;
+    const double warm_share = std::min(1.0, 0.2 + 0.8 * (step_ - zone.recovered_at) / 100.0);
+    return endpoints_[z] * kEndpointCapacityPerSecond * zone.capacity_share / zone.slowdown * warm_share;
   }
-  double of_broker(const Broker& b) const {  // what its clients ask of it
-    const std::size_t n = true_.size();
-    if (true_[b.home].brokers_dead) return 0;
-    double asked = true_[b.home].wanted * true_[b.home].surge;
-    // Clients of a zone whose brokers are dead come to the others.
-    std::size_t live = 0;
-    for (const Truth& t : true_) live += !t.brokers_dead;
+  // Demand of the broker's clients.
+  double demand(const Broker& broker) const {
+    const std::size_t n = zones_.size();
+    if (zones_[broker.home].has_dead_brokers) return 0;
+    double demand = zones_[broker.home].demand * zones_[broker.home].surge;
+    // Clients of a zone whose brokers are dead go to those of the other zones.
+    std::size_t live_zones = 0;
+    for (const ZoneState& zone : zones_) live_zones += !zone.has_dead_brokers;
     for (std::size_t z = 0; z < n; ++z)
-      if (true_[z].brokers_dead) asked += true_[z].wanted * true_[z].surge / static_cast<double>(live);
-    return asked / (static_cast<double>(size_.brokers) / static_cast<double>(n));
+      if (zones_[z].has_dead_brokers)
+        demand += zones_[z].demand * zones_[z].surge / static_cast<double>(live_zones);
+    return demand / (static_cast<double>(size_.brokers) / static_cast<double>(n));
   }
   void serve() {
-    const std::size_t n = true_.size();
-    std::vector<double> load(n, 0), inflow(n, 0);
-    double asked = 0, crossing = 0;
-    for (Broker& b : brokers_) {
-      const double w = of_broker(b);
-      asked += w;
-      std::fill(b.flow.begin(), b.flow.end(), 0);
-      if (w <= 0) continue;
-      if (policy_ == Policy::before) {  // wherever a holder stands, alike
-        double good = 0;
-        for (const Heard& h : b.heard) good += !h.shunned;
-        for (std::size_t z = 0; z < n; ++z) b.flow[z] = b.heard[z].shunned ? 0.01 * w : good ? w / good : 0;
+    const std::size_t n = zones_.size();
+    std::vector<double> load(n, 0);
+    std::vector<double> inflow(n, 0);
+    double requested = 0;
+    double cross_zone = 0;
+    for (Broker& broker : brokers_) {
+      const double wanted = demand(broker);
+      requested += wanted;
+      std::fill(broker.flow.begin(), broker.flow.end(), 0);
+      if (wanted <= 0) continue;
+      if (policy_ == Policy::kZoneUnaware) {
+        double good_zones = 0;
+        for (const Observed& observed : broker.observed) good_zones += !observed.is_avoided;
+        for (std::size_t z = 0; z < n; ++z)
+          broker.flow[z] = broker.observed[z].is_avoided ? 0.01 * wanted
+                           : good_zones                  ? wanted / good_zones
+                                                         : 0;
       } else {
-        const Heard& home = b.heard[b.home];
-        double stays = home.shunned ? 0.02 : std::min(b.stay, 1.0);
-        // Its queue is longer by more than the step: what it turns away looks elsewhere.
-        if (!home.shunned && home.refused > 0) stays = std::min(stays, 1 - home.refused);
+        const Observed& home = broker.observed[broker.home];
+        double local = home.is_avoided ? 0.02 : std::min(broker.local_share, 1.0);
+        // A zone that rejects attempts has queues longer than the local advantage allows, so the rejected
+        // attempts go to other zones.
+        if (!home.is_avoided && home.rejected_share > 0) local = std::min(local, 1 - home.rejected_share);
         double room = 0;
-        std::vector<double> may(n, 0);
+        std::vector<double> allowed(n, 0);
         for (std::size_t z = 0; z < n; ++z) {
-          if (z == b.home || b.heard[z].shunned) continue;
-          room += may[z] = policy_ == Policy::alone ? 1.0 / static_cast<double>(n - 1) : b.limit[z];
+          if (z == broker.home || broker.observed[z].is_avoided) continue;
+          room += allowed[z] =
+              policy_ == Policy::kIndependent ? 1.0 / static_cast<double>(n - 1) : broker.limits[z];
         }
-        const double leaves = std::min(1 - stays, room);
+        const double remote = std::min(1 - local, room);
         for (std::size_t z = 0; z < n; ++z)
-          if (z != b.home)
-            b.flow[z] = (room > 0 ? w * leaves * may[z] / room : 0) + 0.01 * w / static_cast<double>(n);
-        b.flow[b.home] = w * (home.shunned ? 0.02 : 1 - leaves);
+          if (z != broker.home)
+            broker.flow[z] =
+                (room > 0 ? wanted * remote * allowed[z] / room : 0) + 0.01 * wanted / static_cast<double>(n);
+        broker.flow[broker.home] = wanted * (home.is_avoided ? 0.02 : 1 - remote);
       }
       for (std::size_t z = 0; z < n; ++z) {
-        load[z] += b.flow[z];
-        if (z != b.home) inflow[z] += b.flow[z], crossing += b.flow[z];
+        load[z] += broker.flow[z];
+        if (z != broker.home) {
+          inflow[z] += broker.flow[z];
+          cross_zone += broker.flow[z];
+        }
       }
     }
-    std::vector<double> gets(n, 0);
+    std::vector<double> served_share(n, 0);
     for (std::size_t z = 0; z < n; ++z) {
-      const double c = bears(z);
-      // Past what it bears a zone does less than that: queues, copies, time-outs.
-      gets[z] = load[z] <= c ? 1 : c <= 0 ? 0 : c * (1 - 0.5 * std::min(1.0, load[z] / c - 1)) / load[z];
-      if (load[z] > 1.02 * c && c > 0 && inflow[z] > 0.04 * load[z]) run_.over += 0.1;
+      const double max_load = capacity(z);
+      // Queues, hedges and timeouts make an overloaded zone serve less than its capacity.
+      served_share[z] = load[z] <= max_load ? 1
+                        : max_load <= 0
+                            ? 0
+                            : max_load * (1 - 0.5 * std::min(1.0, load[z] / max_load - 1)) / load[z];
+      if (load[z] > 1.02 * max_load && max_load > 0 && inflow[z] > 0.04 * load[z])
+        run_.overload_seconds += 0.1;
     }
     double served = 0;
-    for (Broker& b : brokers_) {
+    for (Broker& broker : brokers_) {
       for (std::size_t z = 0; z < n; ++z) {
-        Heard& h = b.heard[z];
-        const bool none = true_[z].dead || cut_.count({b.home, z}) || b.ill;
-        const double lost = none ? 1 : true_[z].lost, refused = none ? 0 : 1 - gets[z];
-        const double ok = (1 - lost) * (1 - refused);
-        served += b.flow[z] * ok;
-        const double fast = 0.2;  // of half a second
-        h.sent += fast * (b.flow[z] - h.sent), h.lost += fast * (b.flow[z] * lost - h.lost);
-        h.load += 0.02 * (b.flow[z] - h.load);
-        h.refused = b.flow[z] > 0 ? h.refused + fast * (refused - h.refused) : 0;
-        // Suspects after three steps; tried again, and taken back after ten good ones.
-        h.bad = lost > 0.7 ? h.bad + 1 : 0, h.good = lost > 0.7 ? 0 : h.good + 1;
-        if (h.bad >= 3) h.shunned = true;
-        if (h.good >= 10) h.shunned = false;
+        Observed& observed = broker.observed[z];
+        const bool loses_all = zones_[z].is_dead || broken_links_.count({broker.home, z}) || broker.is_faulty;
+        const double lost_share = loses_all ? 1 : zones_[z].lost_share;
+        const double rejected_share = loses_all ? 0 : 1 - served_share[z];
+        const double ok_share = (1 - lost_share) * (1 - rejected_share);
+        served += broker.flow[z] * ok_share;
+        const double gain = 0.2;  // averages over half a second
+        observed.sent += gain * (broker.flow[z] - observed.sent);
+        observed.lost += gain * (broker.flow[z] * lost_share - observed.lost);
+        observed.load += 0.02 * (broker.flow[z] - observed.load);
+        observed.rejected_share =
+            broker.flow[z] > 0 ? observed.rejected_share + gain * (rejected_share - observed.rejected_share)
+                               : 0;
+        // A broker avoids a zone after three bad steps, and uses it again after ten good ones.
+        observed.bad_steps = lost_share > 0.7 ? observed.bad_steps + 1 : 0;
+        observed.good_steps = lost_share > 0.7 ? 0 : observed.good_steps + 1;
+        if (observed.bad_steps >= 3) observed.is_avoided = true;
+        if (observed.good_steps >= 10) observed.is_avoided = false;
       }
     }
-    run_.asked += asked / 10, run_.served += std::min(served, asked) / 10;
-    if (step_ < 150 && step_ >= 50) run_.calm_crossing += crossing / asked / 100;
+    run_.requested += requested / kStepsPerSecond;
+    run_.served += std::min(served, requested) / kStepsPerSecond;
+    if (step_ < kFirstFaultStep && step_ >= 50)
+      run_.fault_free_cross_zone_share += cross_zone / requested / 100;
   }
   void decide() {
-    const Time now = kSecond + step_ * (kSecond / 10);
+    const Time now = kSecond + step_ * (kSecond / kStepsPerSecond);
     for (std::size_t i = 0; i < brokers_.size(); ++i) {
-      const Broker& b = brokers_[i];
-      if (true_[b.home].brokers_dead) continue;
-      zone_failover::ZoneReport r;
-      r.home_zone = name(static_cast<int>(b.home)), r.demand_per_second = of_broker(b);
-      for (std::size_t z = 0; z < true_.size(); ++z) {
-        const Heard& h = b.heard[z];
-        zone_failover::ZoneStats& x = r.zones[name(static_cast<int>(z))];
-        x.attempts_per_second = h.sent, x.lost_per_second = h.lost,
-        x.rejected_per_second = h.refused * h.sent,
-        x.responses_per_second = x.attempts_per_second - x.lost_per_second - x.rejected_per_second;
-        x.load_per_second = h.load, x.endpoints_in_service = static_cast<int>(hosts_[z] * true_[z].worth);
-        x.endpoints_tried = x.endpoints_in_service, x.endpoints_down = h.shunned ? x.endpoints_in_service : 0;
-        x.mean_latency_seconds = 0.004 * true_[z].slow,
-        x.capacity_per_second = x.endpoints_in_service * kHost;
+      const Broker& broker = brokers_[i];
+      if (zones_[broker.home].has_dead_brokers) continue;
+      zone_failover::ZoneReport report;
+      report.home_zone = name(static_cast<int>(broker.home));
+      report.demand_per_second = demand(broker);
+      for (std::size_t z = 0; z < zones_.size(); ++z) {
+        const Observed& observed = broker.observed[z];
+        zone_failover::ZoneStats& stats = report.zones[name(static_cast<int>(z))];
+        stats.attempts_per_second = observed.sent;
+        stats.lost_per_second = observed.lost;
+        stats.rejected_per_second = observed.rejected_share * observed.sent;
+        stats.responses_per_second =
+            stats.attempts_per_second - stats.lost_per_second - stats.rejected_per_second;
+        stats.load_per_second = observed.load;
+        stats.endpoints_in_service = static_cast<int>(endpoints_[z] * zones_[z].capacity_share);
+        stats.endpoints_tried = stats.endpoints_in_service;
+        stats.endpoints_down = observed.is_avoided ? stats.endpoints_in_service : 0;
+        stats.mean_latency_seconds = 0.004 * zones_[z].slowdown;
+        stats.capacity_per_second = stats.endpoints_in_service * kEndpointCapacityPerSecond;
       }
-      zones_->add_report(now, "b" + std::to_string(i), std::move(r));
+      leader_->add_report(now, "b" + std::to_string(i), std::move(report));
     }
-    if (auto e = zones_->propose_change(now, book_)) {
-      const auto v = book_.apply(*e);
-      if (v.number) {
+    if (auto entry = leader_->propose_change(now, versions_)) {
+      const auto applied = versions_.apply(*entry);
+      if (applied.number) {
         shared_config::Entry force;
-        force.kind = shared_config::Entry::Kind::force, force.number = v.number;
-        book_.apply(force);
+        force.kind = shared_config::Entry::Kind::force;
+        force.number = applied.number;
+        versions_.apply(force);
         ++run_.versions;
-        const auto& made = *book_.at(v.number);
-        tables_.push_back({step_, made.rules->zones, zone_failover::parse_decision(made.note)});
-        for (std::size_t z = 0; z < true_.size(); ++z) {
-          const auto it = tables_.back().note.zones.find(name(static_cast<int>(z)));
-          if (it == tables_.back().note.zones.end()) continue;
-          if (it->second.local_share_thousandths < seen_[z].first && seen_[z].second) ++run_.turns;
-          if (it->second.local_share_thousandths != seen_[z].first)
-            seen_[z] = {it->second.local_share_thousandths,
-                        it->second.local_share_thousandths > seen_[z].first};
+        const auto& version = *versions_.at(applied.number);
+        tables_.push_back({step_, version.rules->zones, zone_failover::parse_decision(version.note)});
+        for (std::size_t z = 0; z < zones_.size(); ++z) {
+          const auto& targets = tables_.back().decision.zones;
+          const auto it = targets.find(name(static_cast<int>(z)));
+          if (it == targets.end()) continue;
+          const int share = it->second.local_share_thousandths;
+          LastShare& last = last_shares_[z];
+          if (share < last.share && last.has_risen) ++run_.reversals;
+          if (share != last.share) last = {share, share > last.share};
         }
       }
     }
-    for (Broker& b : brokers_) {
-      const Table* t = nullptr;
+    for (Broker& broker : brokers_) {
+      const Table* table = nullptr;
       for (const Table& made : tables_)
-        if (made.at + b.delay <= step_) t = &made;
-      if (!t) continue;
-      double out = 0;
-      const std::string home = name(static_cast<int>(b.home));
-      for (std::size_t z = 0; z < true_.size(); ++z)
-        if (z != b.home) out += b.limit[z] = t->shares.of(home, name(static_cast<int>(z))) / 1000.0;
-      const auto it = t->note.zones.find(home);
-      b.stay = it == t->note.zones.end() ? 1 : std::max(it->second.local_share_thousandths / 1000.0, 1 - out);
+        if (made.made_at + broker.delay_steps <= step_) table = &made;
+      if (!table) continue;
+      double max_remote_share = 0;
+      const std::string home = name(static_cast<int>(broker.home));
+      for (std::size_t z = 0; z < zones_.size(); ++z)
+        if (z != broker.home)
+          max_remote_share += broker.limits[z] = table->shares.of(home, name(static_cast<int>(z))) / 1000.0;
+      const auto it = table->decision.zones.find(home);
+      broker.local_share = it == table->decision.zones.end()
+                               ? 1
+                               : std::max(it->second.local_share_thousandths / 1000.0, 1 - max_remote_share);
     }
-    while (tables_.size() > 40) tables_.pop_front();
+    while (tables_.size() > kMaxTables) tables_.pop_front();
   }
-  // The same filling from the true state, one and a half seconds late.
-  void tell() {
-    std::vector<zone_failover::ZoneTraffic> places;
-    zone_failover::BrokenLinks cut;
-    for (const auto& [from, to] : cut_)
-      cut.insert({name(static_cast<int>(from)), name(static_cast<int>(to))});
-    std::vector<double> wanted(true_.size(), 0);
-    for (const Broker& b : brokers_) wanted[b.home] += of_broker(b);
-    for (std::size_t z = 0; z < true_.size(); ++z) {
-      const double c = bears(z) * (1 - true_[z].lost);
-      places.push_back({name(static_cast<int>(z)), stated_[z].region, wanted[z],
-                        wanted[z] > 0 ? std::min(1.0, c / wanted[z]) : 1, c, c > 0});
+  // Splits the traffic by the true state, kOracleDelaySteps late.
+  void apply_oracle_split() {
+    std::vector<zone_failover::ZoneTraffic> traffic;
+    zone_failover::BrokenLinks broken_links;
+    for (const auto& [from, to] : broken_links_)
+      broken_links.insert({name(static_cast<int>(from)), name(static_cast<int>(to))});
+    std::vector<double> demands(zones_.size(), 0);
+    for (const Broker& broker : brokers_) demands[broker.home] += demand(broker);
+    for (std::size_t z = 0; z < zones_.size(); ++z) {
+      const double usable = capacity(z) * (1 - zones_[z].lost_share);
+      traffic.push_back({name(static_cast<int>(z)), zone_options_[z].region, demands[z],
+                         demands[z] > 0 ? std::min(1.0, usable / demands[z]) : 1, usable, usable > 0});
     }
-    late_.push_back({places, cut});
-    if (late_.size() <= 15) return;
-    const auto [then, gone] = late_.front();
-    late_.pop_front();
-    const auto f = zone_failover::split_traffic(then, gone, zone_failover::TrafficSplitOptions{0.02, 10});
-    for (Broker& b : brokers_) {
-      const std::string home = name(static_cast<int>(b.home));
-      double out = 0;
-      for (std::size_t z = 0; z < true_.size(); ++z)
-        if (z != b.home) out += b.limit[z] = f.shares.of(home, name(static_cast<int>(z))) / 1000.0;
-      b.stay = std::max(then[b.home].local_share, 1 - out);
+    delayed_.push_back({traffic, broken_links});
+    if (delayed_.size() <= kOracleDelaySteps) return;
+    const auto [past_traffic, past_links] = delayed_.front();
+    delayed_.pop_front();
+    const auto split =
+        zone_failover::split_traffic(past_traffic, past_links, zone_failover::TrafficSplitOptions{0.02, 10});
+    for (Broker& broker : brokers_) {
+      const std::string home = name(static_cast<int>(broker.home));
+      double max_remote_share = 0;
+      for (std::size_t z = 0; z < zones_.size(); ++z)
+        if (z != broker.home)
+          max_remote_share += broker.limits[z] = split.shares.of(home, name(static_cast<int>(z))) / 1000.0;
+      broker.local_share = std::max(past_traffic[broker.home].local_share, 1 - max_remote_share);
     }
   }
 
-  std::mt19937 chance_;
+  std::mt19937 random_;
   ZoneWorldSize size_;
   Policy policy_;
-  std::vector<zone_failover::Zone> stated_;
-  std::vector<int> hosts_;
-  std::vector<Truth> true_;
+  std::vector<zone_failover::ZoneOptions> zone_options_;
+  std::vector<int> endpoints_;  // by zone
+  std::vector<ZoneState> zones_;
   std::vector<Broker> brokers_;
   std::vector<Fault> faults_;
-  std::set<std::pair<std::size_t, std::size_t>> cut_;
-  std::unique_ptr<zone_failover::ZoneFailover> zones_;
-  shared_config::Versions book_;
+  std::set<std::pair<std::size_t, std::size_t>> broken_links_;
+  std::unique_ptr<zone_failover::ZoneFailover> leader_;
+  shared_config::Versions versions_;
   std::deque<Table> tables_;
-  std::deque<std::pair<std::vector<zone_failover::ZoneTraffic>, zone_failover::BrokenLinks>> late_;
-  std::vector<std::pair<int, bool>> seen_;
+  std::deque<std::pair<std::vector<zone_failover::ZoneTraffic>, zone_failover::BrokenLinks>> delayed_;
+  std::vector<LastShare> last_shares_;  // by zone
   int step_ = 0;
   ZoneRun run_;
 };
--- a/tests/courses.cpp
+++ b/tests/courses.cpp
@@ -1,7 +1,7 @@
-// Every order of what can happen to one zone, over a clock of whole steps: each look at it, each order of an
-// operator, a new leader. What must hold is held against a record kept beside the course.
+// Checks the failover state machine of one zone exhaustively: every sequence of statuses, operators' orders
+// and leader changes, with time in whole steps. A history kept beside the state machine tells what must hold.
 //
-// `courses break N` takes defence N out and must find a state where something doesn't hold.
+// `courses break N` removes safeguard N and must then find a state in which something does not hold.
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -17,51 +17,66 @@
 
 namespace {
 
-FailoverOptions terms(int broken) {
-  FailoverOptions t;
-  t.confirmation_time = 2, t.min_dwell = 3, t.max_dwell = 6, t.step_interval = 1;
-  if (broken == 1) t.min_dwell = 1, t.max_dwell = 2;  // back as soon as it looks good
-  if (broken == 2) t.confirmation_time = 4;           // away too late
-  return t;
+constexpr int kMinDwell = 3;
+constexpr int kConfirmationTime = 2;
+
+FailoverOptions failover_options(int removed_safeguard) {
+  FailoverOptions options;
+  options.confirmation_time = kConfirmationTime;
+  options.min_dwell = kMinDwell;
+  options.max_dwell = 6;
+  options.step_interval = 1;
+  if (removed_safeguard == 1) {  // traffic returns as soon as the zone is good
+    options.min_dwell = 1;
+    options.max_dwell = 2;
+  }
+  if (removed_safeguard == 2) options.confirmation_time = 4;  // traffic leaves too late
+  return options;
 }
-constexpr int kDwell = 3, kConfirm = 2;
 
-struct Play {
+struct CheckedState {
   Time now = 1;
-  FailoverStateMachine course{terms(0)};
-  // The record beside it, in steps, each no further than it counts.
-  int good_for = 0, dead_for = 0, evacuating_for = 0, fell_ago = 99;
-  bool resumed = false;
+  FailoverStateMachine machine{failover_options(0)};
+  // The history, in steps; each count is capped where it no longer matters.
+  int good_steps = 0;
+  int dead_steps = 0;
+  int evacuating_steps = 0;
+  int steps_since_fall = 99;
+  bool is_resumed = false;
   std::string key() const {
-    return course.state_key(now) + '|' + std::to_string(good_for) + std::to_string(dead_for) +
-           std::to_string(evacuating_for) + ' ' + std::to_string(fell_ago) + (resumed ? "r" : "");
+    return machine.state_key(now) + '|' + std::to_string(good_steps) + std::to_string(dead_steps) +
+           std::to_string(evacuating_steps) + ' ' + std::to_string(steps_since_fall) +
+           (is_resumed ? "r" : "");
   }
 };
 
-// What doesn't hold after `look` and `ordered` led from one state to the next; empty where all does.
-std::string wrong(const Play& was, const Play& is, ZoneStatus look, OperatorOrder ordered, bool in_force) {
-  const int before = was.course.local_share_thousandths(), after = is.course.local_share_thousandths();
-  const auto from = was.course.state(), to = is.course.state();
-  if (ordered == OperatorOrder::kHold && (before != after || from != to))
+// Returns what does not hold after `status` and `order` led from `was` to `is`; empty if all holds.
+std::string violation(const CheckedState& was, const CheckedState& is, ZoneStatus status, OperatorOrder order,
+                      bool is_in_force) {
+  const int before = was.machine.local_share_thousandths();
+  const int after = is.machine.local_share_thousandths();
+  const auto from = was.machine.state();
+  const auto to = is.machine.state();
+  if (order == OperatorOrder::kHold && (before != after || from != to))
     return "something moved while it was held";
-  if (ordered == OperatorOrder::kEvacuate && after > before)
-    return "more stayed while it was being evacuated";
-  if (is.evacuating_for > 6 && (to != FailoverState::kFailedOver || after != 0))
+  if (order == OperatorOrder::kEvacuate && after > before) return "more stayed while it was being evacuated";
+  if (is.evacuating_steps > 6 && (to != FailoverState::kFailedOver || after != 0))
     return "it was not evacuated in time";
-  if (is.dead_for > kConfirm && ordered == OperatorOrder::kNone &&
+  if (is.dead_steps > kConfirmationTime && order == OperatorOrder::kNone &&
       (to != FailoverState::kFailedOver || after > 10))
     return "a dead zone was not left in time";
-  // Back only after it was good for a dwell; the little that is asked of a dead zone is no return.
-  const bool first_step = from != FailoverState::kReturning && to == FailoverState::kReturning;
-  if (first_step && from != FailoverState::kEvacuating && is.good_for < kDwell)
+  // Traffic returns only after the zone was good for a dwell. The probes of a dead zone do not count as a
+  // return.
+  const bool is_first_step = from != FailoverState::kReturning && to == FailoverState::kReturning;
+  if (is_first_step && from != FailoverState::kEvacuating && is.good_steps < kMinDwell)
     return "it came back too soon";
-  if (first_step && from != FailoverState::kEvacuating && was.fell_ago < kDwell)
+  if (is_first_step && from != FailoverState::kEvacuating && was.steps_since_fall < kMinDwell)
     return "it came back within a dwell";
-  if (after > before && look != ZoneStatus::kGood && from != FailoverState::kEvacuating && after > 10)
+  if (after > before && status != ZoneStatus::kGood && from != FailoverState::kEvacuating && after > 10)
     return "more stayed though it looked bad";
-  if (from == FailoverState::kReturning && !in_force && (after > before || to == FailoverState::kLocal))
+  if (from == FailoverState::kReturning && !is_in_force && (after > before || to == FailoverState::kLocal))
     return "a step back was taken before all brokers acted on the last one";
-  if (to != FailoverState::kLocal && is.course.accepts_remote_traffic())
+  if (to != FailoverState::kLocal && is.machine.accepts_remote_traffic())
     return "others were let in while it was not well";
   if (to == FailoverState::kLocal && after != 1000) return "near, and not all stays";
   return "";
@@ -70,57 +85,65 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  const int broken = argc > 2 && std::string(argv[1]) == "break" ? std::atoi(argv[2]) : 0;
-  Play first;
-  first.course = FailoverStateMachine(terms(broken));
+  const int removed_safeguard = argc > 2 && std::string(argv[1]) == "break" ? std::atoi(argv[2]) : 0;
+  CheckedState first;
+  first.machine = FailoverStateMachine(failover_options(removed_safeguard));
   std::unordered_set<std::string> seen{first.key()};
-  std::vector<Play> todo{first};
-  std::uint64_t ways = 0;
-  std::string all_states;
+  std::vector<CheckedState> todo{first};
+  std::uint64_t transitions = 0;
   while (!todo.empty()) {
-    const Play s = std::move(todo.back());
+    const CheckedState state = std::move(todo.back());
     todo.pop_back();
-    const auto take = [&](Play n, ZoneStatus look, OperatorOrder ordered, bool in_force) {
-      ++ways;
-      if (const std::string what = wrong(s, n, look, ordered, in_force); !what.empty()) {
-        std::printf(broken ? "with a defence out: %s\n" : "BROKEN: %s: %s\n", what.c_str(), n.key().c_str());
-        std::exit(broken ? 0 : 1);
+    const auto check = [&](CheckedState next, ZoneStatus status, OperatorOrder order, bool is_in_force) {
+      ++transitions;
+      if (const std::string what = violation(state, next, status, order, is_in_force); !what.empty()) {
+        std::printf(removed_safeguard ? "with a defence out: %s\n" : "BROKEN: %s: %s\n", what.c_str(),
+                    next.key().c_str());
+        std::exit(removed_safeguard ? 0 : 1);
       }
-      if (seen.insert(n.key()).second) todo.push_back(std::move(n));
+      if (seen.insert(next.key()).second) todo.push_back(std::move(next));
     };
-    for (const ZoneStatus look : {ZoneStatus::kGood, ZoneStatus::kOverloaded, ZoneStatus::kPartial,
-                                  ZoneStatus::kDead, ZoneStatus::kUnknown})
-      for (const OperatorOrder ordered :
-           {OperatorOrder::kNone, OperatorOrder::kEvacuate, OperatorOrder::kHold})
-        for (const auto& [bears, in_force] :
+    for (const ZoneStatus status : {ZoneStatus::kGood, ZoneStatus::kOverloaded, ZoneStatus::kPartial,
+                                    ZoneStatus::kDead, ZoneStatus::kUnknown})
+      for (const OperatorOrder order : {OperatorOrder::kNone, OperatorOrder::kEvacuate, OperatorOrder::kHold})
+        for (const auto& [sustainable_share, is_in_force] :
              {std::pair(0.8, true), std::pair(0.8, false), std::pair(0.4, true), std::pair(0.4, false)}) {
-          if (bears < 0.8 && look != ZoneStatus::kOverloaded && look != ZoneStatus::kPartial) continue;
-          Play n = s;
-          ++n.now;
-          n.resumed = false;
-          n.course.update(n.now, look, bears, ordered, in_force || broken == 3);
-          // What nobody asked of tells neither way: the time goes on from the first good look.
-          const bool counts = look == ZoneStatus::kGood || (look == ZoneStatus::kUnknown && n.good_for > 0);
-          n.good_for = counts ? std::min(kDwell, n.good_for + 1) : 0;
-          n.dead_for = look == ZoneStatus::kDead && ordered == OperatorOrder::kNone
-                           ? std::min(kConfirm + 1, n.dead_for + 1)
-                           : 0;
-          n.evacuating_for = ordered == OperatorOrder::kEvacuate ? std::min(7, n.evacuating_for + 1) : 0;
-          n.fell_ago = n.course.local_share_thousandths() < s.course.local_share_thousandths()
-                           ? 0
-                           : std::min(kDwell, n.fell_ago + 1);
-          take(n, look, ordered, in_force);
+          if (sustainable_share < 0.8 && status != ZoneStatus::kOverloaded && status != ZoneStatus::kPartial)
+            continue;
+          CheckedState next = state;
+          ++next.now;
+          next.is_resumed = false;
+          next.machine.update(next.now, status, sustainable_share, order,
+                              is_in_force || removed_safeguard == 3);
+          // An unknown status proves nothing either way: the count that began with a good status goes on.
+          const bool counts_as_good =
+              status == ZoneStatus::kGood || (status == ZoneStatus::kUnknown && next.good_steps > 0);
+          next.good_steps = counts_as_good ? std::min(kMinDwell, next.good_steps + 1) : 0;
+          next.dead_steps = status == ZoneStatus::kDead && order == OperatorOrder::kNone
+                                ? std::min(kConfirmationTime + 1, next.dead_steps + 1)
+                                : 0;
+          next.evacuating_steps =
+              order == OperatorOrder::kEvacuate ? std::min(7, next.evacuating_steps + 1) : 0;
+          next.steps_since_fall =
+              next.machine.local_share_thousandths() < state.machine.local_share_thousandths()
+                  ? 0
+                  : std::min(kMinDwell, next.steps_since_fall + 1);
+          check(next, status, order, is_in_force);
         }
-    if (!s.resumed) {  // another leads, and knows the state and the share only
-      Play n = s;
-      n.course = FailoverStateMachine(terms(broken));
-      n.course.resume(n.now, s.course.state(), s.course.local_share_thousandths());
-      n.good_for = n.dead_for = n.evacuating_for = 0, n.resumed = true;
-      take(n, ZoneStatus::kGood, OperatorOrder::kHold, true);
+    if (!state.is_resumed) {  // a new leader knows only the state and the share
+      CheckedState next = state;
+      next.machine = FailoverStateMachine(failover_options(removed_safeguard));
+      next.machine.resume(next.now, state.machine.state(), state.machine.local_share_thousandths());
+      next.good_steps = next.dead_steps = next.evacuating_steps = 0;
+      next.is_resumed = true;
+      check(next, ZoneStatus::kGood, OperatorOrder::kHold, true);
     }
   }
-  if (broken) return std::printf("with a defence out: NOTHING found\n"), 1;
+  if (removed_safeguard) {
+    std::printf("with a defence out: NOTHING found\n");
+    return 1;
+  }
   std::printf("%zu states, %llu ways, all there are: all of it holds\n", seen.size(),
-              static_cast<unsigned long long>(ways));
+              static_cast<unsigned long long>(transitions));
   return 0;
 }
