--- a/src/zone_failover/cross_zone_budget.h
+++ b/src/zone_failover/cross_zone_budget.h
@@ -2,11 +2,11 @@
 // bytes that cross zones. Does no I/O and reads no clock.
 //
 // The budget of a class is a token bucket of bytes: it fills at the class's rate up to a fixed time's worth,
-// and bytes in both directions are taken from it. Until the bytes of an attempt are known, the attempt
-// reserves as many as one was seen to carry, so that many concurrent attempts do not overdraw the budget.
-// Once the budget is exhausted, the class's shard requests stay in the own zone. Shard requests without a
-// local replica cross all the same, because a response matters more than the budget; they are counted
-// separately and take nothing from it, so the budget is full again once the local replicas are back.
+// and bytes in both directions are taken from it. Until the bytes of an attempt are known, it
+// reserves the most that a recent attempt carried, so that many concurrent attempts do not overdraw the
+// budget. Once the budget is exhausted, the class's shard requests stay in the own zone. Shard requests
+// without a local replica cross all the same, because a response matters more than the budget; they are
+// counted separately and take nothing from it, so the budget is full again once the local replicas are back.
 #pragma once
 #include <cstdint>
 #include <limits>
@@ -42,7 +42,8 @@
   bool has_limits() const { return limited_classes_ > 0; }
   bool is_exhausted(Time now, int request_class) const;
 
-  // Returns whether the attempt is over budget, which record_bytes() and finish_attempt() must be told.
+  // Returns whether the attempt is over budget; the caller passes this on to record_bytes() and
+  // finish_attempt().
   bool start_attempt(Time now, int zone, int request_class);
   // `request_class` is -1 for bytes of an attempt that is no longer known.
   void record_bytes(Time now, int zone, int request_class, bool is_over_budget, long long bytes_out,
--- a/src/zone_failover/traffic_split.h
+++ b/src/zone_failover/traffic_split.h
@@ -4,7 +4,7 @@
 // The excess of a zone is the demand of its brokers that may not stay local. Its spare is its capacity minus
 // the headroom and minus what stays local. The excess is placed into the spare of other zones, those of the
 // same region first. Whatever spare remains is allowed to all other zones in equal shares, so that they can
-// use it without a new decision if their own zone fails. Excess without any spare is left unplaced, and the
+// use it without a new decision if their own zone fails. Excess that finds no spare is left unplaced, and the
 // brokers of its zone reject it.
 #pragma once
 #include <map>
--- a/src/zone_failover/zone_load.h
+++ b/src/zone_failover/zone_load.h
@@ -35,7 +35,7 @@
 
   void record_attempt_result(Time now, const std::string& zone, EndpointId endpoint, AttemptResult result,
                              Time latency);
-  // Records what clients request, whatever becomes of it: `shard_requests` in all, and `remote_only` of them
+  // Records the shard requests of a client request, whether or not they are sent. `remote_only` of them are
   // for shards without a replica in service in the home zone.
   void record_demand(Time now, double shard_requests, double remote_only);
   void set_endpoints(const std::string& zone, int endpoints_in_service, double capacity_per_second);
