--- a/fuzz/messages.cpp
+++ b/fuzz/messages.cpp
@@ -61,10 +61,13 @@
       }
       break;
     case 7:
-      if (const auto m = maintenance::decode(text)) {
-        const auto again = maintenance::decode(maintenance::encode(*m));
-        must(again && again->stand_down == m->stand_down && again->clear.has_value() == m->clear.has_value());
-        if (m->clear) must(again->clear->out == m->clear->out && again->clear->low == m->clear->low);
+      if (const auto m = maintenance::decode_message(text)) {
+        const auto again = maintenance::decode_message(maintenance::encode_message(*m));
+        must(again && again->stop_for_job == m->stop_for_job &&
+             again->open_attempts.has_value() == m->open_attempts.has_value());
+        if (m->open_attempts)
+          must(again->open_attempts->by_endpoint == m->open_attempts->by_endpoint &&
+               again->open_attempts->lease_low_version == m->open_attempts->lease_low_version);
       }
       break;
     case 8: {
@@ -72,14 +75,14 @@
       shared_config::Entry e;
       e.kind = shared_config::Entry::Kind::board;
       e.text = "facts { cells: 3 width: 2 terms { at_once: 1 } node { name: \"n\" ready: true warm: true } }";
-      shared_config::Versions book(std::make_shared<maintenance::Works>());
+      shared_config::Versions book(std::make_shared<maintenance::JobQueue>());
       must(book.apply(e).number != 0);
       e.text = std::string(text);
       const auto v = book.apply(e);
       must(v.number != 0 || !v.refused.empty());
-      shared_config::Versions copy(std::make_shared<maintenance::Works>());
+      shared_config::Versions copy(std::make_shared<maintenance::JobQueue>());
       must(copy.restore(book.snapshot()) && copy.board()->snapshot() == book.board()->snapshot());
-      maintenance::Works().restore(text);
+      maintenance::JobQueue().restore(text);
       break;
     }
     case 3: {
--- a/src/cluster/admin_api.cpp
+++ b/src/cluster/admin_api.cpp
@@ -241,60 +241,62 @@
   const auto* book = fleet_.works()->book();
   json out{{"name", fleet_.options().name}, {"leader", s.leader}, {"leads", s.leads && book}};
   if (!s.leads || !book) return text(out);
-  const auto& waits = fleet_.works()->conduct().waits();
+  const auto& waits = fleet_.works()->conduct().waiting_reasons();
   json works = json::array(), plan = json::array(), nodes = json::array();
-  for (const auto& [n, w] : book->all()) {
+  for (const auto& [n, w] : book->jobs()) {
     const auto it = waits.find(n);
     std::string why = it == waits.end() ? "" : it->second;
-    if (w.step == maintenance::Step::queued && why.empty()) why = book->forbids(w.request, n);
-    works.push_back({{"number", n},
-                     {"machine", w.request.machine},
-                     {"step", maintenance::name_of(w.step)},
-                     {"held", w.held},
-                     {"since_ms", w.since / maintenance::kMs},
-                     {"last", w.last},
-                     {"waits", why},
-                     {"who", w.who},
-                     {"why", w.why},
-                     {"nodes", w.request.nodes},
-                     {"brokers", w.request.brokers},
-                     {"zone", w.request.zone},
-                     {"region", w.request.region},
-                     {"rack", w.request.rack},
-                     {"endangers", w.open() ? json(book->endangers(w.request)) : json::array()}});
+    if (w.state == maintenance::JobState::kQueued && why.empty()) why = book->blocking_reason(w.request, n);
+    works.push_back(
+        {{"number", n},
+         {"machine", w.request.machine},
+         {"step", maintenance::job_state_name(w.state)},
+         {"held", w.is_held},
+         {"since_ms", w.state_since / maintenance::kMillisecond},
+         {"last", w.state_reason},
+         {"waits", why},
+         {"who", w.requested_by},
+         {"why", w.reason},
+         {"nodes", w.request.endpoints},
+         {"brokers", w.request.brokers},
+         {"zone", w.request.zone},
+         {"region", w.request.region},
+         {"rack", w.request.rack},
+         {"endangers", w.is_open() ? json(book->shards_below_min_replicas(w.request)) : json::array()}});
   }
   // As every voter makes it from the same entries: as of the facts said last.
-  for (const auto& p : maintenance::plan(*book, book->facts_at())) {
-    const auto& w = book->all().at(p.work);
-    plan.push_back({{"work", p.work},
+  for (const auto& p : maintenance::plan_jobs(*book, book->fleet_status_at())) {
+    const auto& w = book->jobs().at(p.job);
+    plan.push_back({{"work", p.job},
                     {"machine", w.request.machine},
-                    {"start_ms", p.start == kNever ? 0 : p.start / maintenance::kMs},
-                    {"length_ms", (w.request.length + book->facts().terms.around) / maintenance::kMs},
-                    {"in_time", p.in_time}});
+                    {"start_ms", p.start == kNever ? 0 : p.start / maintenance::kMillisecond},
+                    {"length_ms", (w.request.duration + book->fleet_status().limits.transition_time) /
+                                      maintenance::kMillisecond},
+                    {"in_time", p.is_in_time}});
   }
-  const std::set<std::string> out_nodes = book->out_nodes();
-  for (const auto& [name, n] : book->facts().nodes)
+  const std::set<std::string> out_nodes = book->endpoints_out();
+  for (const auto& [name, n] : book->fleet_status().endpoints)
     nodes.push_back({{"name", name},
-                     {"cell", n.cell},
+                     {"cell", n.ring_position},
                      {"zone", n.zone},
-                     {"ready", n.ready},
-                     {"warm", n.warm},
+                     {"ready", n.is_ready},
+                     {"warm", n.is_warm},
                      {"out", out_nodes.count(name) != 0}});
-  out["held"] = book->held(), out["works"] = works, out["plan"] = plan;
-  out["facts"] = {{"revision", book->facts().revision},
-                  {"cells", book->facts().cells},
-                  {"width", book->facts().width},
-                  {"holders_least", book->facts().terms.holders_least},
+  out["held"] = book->is_held(), out["works"] = works, out["plan"] = plan;
+  out["facts"] = {{"revision", book->fleet_status().revision},
+                  {"cells", book->fleet_status().ring_size},
+                  {"width", book->fleet_status().replicas_per_shard},
+                  {"holders_least", book->fleet_status().limits.min_warm_replicas},
                   {"nodes", nodes}};
   return text(out);
 }
 
 // What an operator says of works, as the log's entry has it; none where it is not well formed.
 std::optional<std::string> Operators::work_op(const nlohmann::json& j) {
-  maintenance::Op op;
+  maintenance::JobOperation op;
   timespec t{};
   clock_gettime(CLOCK_REALTIME, &t);
-  op.at = static_cast<Time>(t.tv_sec) * kSecond + t.tv_nsec;
+  op.stated_at = static_cast<Time>(t.tv_sec) * kSecond + t.tv_nsec;
   const auto number = [&](const char* name) -> std::optional<std::uint64_t> {
     const auto it = j.find(name);
     if (it == j.end() || !it->is_number_unsigned()) return std::nullopt;
@@ -303,7 +305,7 @@
   op.hold = number("hold"), op.resume = number("resume"), op.cancel = number("cancel"),
   op.done = number("done");
   if (const auto r = j.find("request"); r != j.end() && r->is_object()) {
-    maintenance::Request request;
+    maintenance::JobRequest request;
     const auto word = [&](const char* name, std::string& into) {
       if (const auto it = r->find(name); it != r->end() && it->is_string()) into = it->get<std::string>();
     };
@@ -314,22 +316,22 @@
     };
     const auto ms_of = [&](const char* name, Time& into) {
       if (const auto it = r->find(name); it != r->end() && it->is_number())
-        into = static_cast<Time>(std::clamp(it->get<double>(), 0.0, 4e12)) * maintenance::kMs;
+        into = static_cast<Time>(std::clamp(it->get<double>(), 0.0, 4e12)) * maintenance::kMillisecond;
     };
     word("machine", request.machine), word("rack", request.rack), word("zone", request.zone);
-    word("region", request.region), words("nodes", request.nodes), words("brokers", request.brokers);
-    ms_of("earliest_ms", request.earliest), ms_of("latest_ms", request.latest);
-    ms_of("length_ms", request.length);
+    word("region", request.region), words("nodes", request.endpoints), words("brokers", request.brokers);
+    ms_of("earliest_ms", request.earliest_start), ms_of("latest_ms", request.latest_end);
+    ms_of("length_ms", request.duration);
     if (const auto p = r->find("priority"); p != r->end() && p->is_number_integer())
       request.priority = static_cast<int>(std::clamp<std::int64_t>(p->get<std::int64_t>(), -1000, 1000));
     if (const auto e = r->find("emergency"); e != r->end() && e->is_boolean())
-      request.emergency = e->get<bool>();
+      request.is_emergency = e->get<bool>();
     op.request = std::move(request);
   }
   const int said = op.request.has_value() + op.hold.has_value() + op.resume.has_value() +
                    op.cancel.has_value() + op.done.has_value();
   if (said != 1) return std::nullopt;
-  return maintenance::encode(op);
+  return maintenance::encode_operation(op);
 }
 
 // A proposal whose answer is awaited; its asker may leave before.
--- a/src/cluster/cluster_node.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -113,7 +113,7 @@
     }
     accord_ = std::make_unique<shared_config::Accord>(accord_terms(*o.accord), o.name, store_.get(),
                                                       std::move(ground), seed + 1,
-                                                      std::make_shared<maintenance::Works>());
+                                                      std::make_shared<maintenance::JobQueue>());
     std::string text;
     std::uint64_t number = 0;
     if (store_ && store_->ground(text, number)) {
--- a/src/cluster/maintenance_agent.cpp
+++ b/src/cluster/maintenance_agent.cpp
@@ -12,12 +12,13 @@
 
 namespace {
 
-maintenance::ConductTerms conduct_terms(const options::Fleet& o, const settings::Settings& settings) {
-  maintenance::ConductTerms t;
-  t.every = o.upkeep->look, t.drift = o.accord->drift;
-  t.warm_after = settings.span("rules.cold", 0);
+maintenance::MaintenanceControllerOptions conduct_terms(const options::Fleet& o,
+                                                        const settings::Settings& settings) {
+  maintenance::MaintenanceControllerOptions t;
+  t.check_interval = o.upkeep->look, t.max_clock_drift = o.accord->drift;
+  t.warm_up_time = settings.span("rules.cold", 0);
   for (const auto& op : settings::op_types(settings))
-    t.longest_send = std::max(t.longest_send, op.op.request_timeout);
+    t.max_attempt_time = std::max(t.max_attempt_time, op.op.request_timeout);
   return t;
 }
 
@@ -47,21 +48,21 @@
         if (stop_) stop_();
       }) {}
 
-const maintenance::Works* Works::book() const {
+const maintenance::JobQueue* Works::book() const {
   const auto* engine = accord_.engine();
-  return engine ? dynamic_cast<const maintenance::Works*>(engine->versions().board().get()) : nullptr;
+  return engine ? dynamic_cast<const maintenance::JobQueue*>(engine->versions().board().get()) : nullptr;
 }
 
-maintenance::Facts Works::see(Time now, const std::map<std::string, Listed>& listed,
-                              std::uint64_t revision) const {
+maintenance::FleetStatus Works::see(Time now, const std::map<std::string, Listed>& listed,
+                                    std::uint64_t revision) const {
   const auto& o = *options_.upkeep;
-  maintenance::Facts f;
-  f.revision = revision, f.cells = cells_, f.width = width_;
-  f.terms = {o.holders_least, o.at_once,  o.a_rack,     o.a_zone, o.a_region,
-             o.zone_keep,     o.headroom, o.lost_after, o.around, o.stop_on_loss};
+  maintenance::FleetStatus f;
+  f.revision = revision, f.ring_size = cells_, f.replicas_per_shard = width_;
+  f.limits = {o.holders_least, o.at_once,  o.a_rack,     o.a_zone, o.a_region,
+              o.zone_keep,     o.headroom, o.lost_after, o.around, o.stop_on_loss};
   for (const auto& [name, n] : listed) {
-    if (f.nodes.size() >= maintenance::Works::kNodes || n.cell >= cells_) continue;
-    f.nodes[name] = {n.cell, n.zone, n.ready, n.started == 0 || now - n.started >= warm_after_};
+    if (f.endpoints.size() >= maintenance::JobQueue::kMaxEndpoints || n.cell >= cells_) continue;
+    f.endpoints[name] = {n.cell, n.zone, n.ready, n.started == 0 || now - n.started >= warm_after_};
     if (!n.zone.empty()) f.zones.try_emplace(n.zone);
   }
   if (zones_) {
@@ -69,8 +70,8 @@
     for (const auto& e : zones_->explain()) {
       const auto it = f.zones.find(e.zone);
       if (it == f.zones.end()) continue;
-      it->second.near = e.state == zone_failover::State::near;
-      it->second.load = e.view.load, it->second.capacity = e.view.capacity;
+      it->second.serves_locally = e.state == zone_failover::State::near;
+      it->second.load_per_second = e.view.load, it->second.capacity_per_second = e.view.capacity;
     }
   }
   f.voters = accord_.engine()->voting();
@@ -79,51 +80,51 @@
 
 void Works::turn(Time now, const Program& program, const shared_config::Acting& acted,
                  const std::map<std::string, Listed>& listed, std::uint64_t revision) {
-  if (now < conduct_.wake()) return;
-  conduct_.looked(now);
+  if (now < conduct_.next_check_at()) return;
+  conduct_.schedule_next_check(now);
   // What is acted on under a lease that has lapsed meanwhile tells nothing: the next look will.
   if (!acted.rules->at_work.empty() && program.clear && acted.low == accord_.acting(now)->low) {
-    maintenance::Message m;
-    m.clear.emplace();
-    m.clear->low = acted.low;
-    for (const auto& node : acted.rules->at_work) m.clear->out[node] = program.clear(node);
+    maintenance::MaintenanceMessage m;
+    m.open_attempts.emplace();
+    m.open_attempts->lease_low_version = acted.low;
+    for (const auto& node : acted.rules->at_work) m.open_attempts->by_endpoint[node] = program.clear(node);
     if (accord_.leader() == options_.name || (accord_.engine() && accord_.engine()->leads()))
-      conduct_.heard(now, options_.name, std::move(*m.clear));
+      conduct_.record_report(now, options_.name, std::move(*m.open_attempts));
     else if (!accord_.leader().empty())
-      send_(accord_.leader(), encode(m));
+      send_(accord_.leader(), encode_message(m));
   }
   const auto* engine = accord_.engine();
   const auto* works = book();
   if (!engine || !works) return;
-  accord_.retire(conduct_.retiring(*works));
-  if (!engine->leads()) return conduct_.leads_no_more();
+  accord_.retire(conduct_.retiring_brokers(*works));
+  if (!engine->leads()) return conduct_.stop_leading();
   if (revision == 0) return;  // it has no list yet, and sees nothing
-  maintenance::Seen seen;
-  seen.facts = see(now, listed, revision);
-  seen.held = accord_.leases().held();
+  maintenance::LeaderView seen;
+  seen.fleet_status = see(now, listed, revision);
+  seen.leases = accord_.leases().held();
   seen.voters = engine->voting();
-  for (const auto* member : peers_.members().live()) seen.alive.insert(member->update.name);
-  auto e = conduct_.lead(now, wall_now(), engine->versions(), seen);
-  for (const auto& broker : conduct_.stand_down()) {
-    maintenance::Message m;
-    for (const auto& [n, w] : works->all())
-      if (w.takes_out() && std::count(w.request.brokers.begin(), w.request.brokers.end(), broker))
-        m.stand_down = n;
-    if (m.stand_down) send_(broker, encode(m));
+  for (const auto* member : peers_.members().live()) seen.live_brokers.insert(member->update.name);
+  auto e = conduct_.next_entry(now, wall_now(), engine->versions(), seen);
+  for (const auto& broker : conduct_.brokers_to_stop()) {
+    maintenance::MaintenanceMessage m;
+    for (const auto& [n, w] : works->jobs())
+      if (w.takes_endpoints_out() && std::count(w.request.brokers.begin(), w.request.brokers.end(), broker))
+        m.stop_for_job = n;
+    if (m.stop_for_job) send_(broker, encode_message(m));
   }
   if (!e) return;
   log("upkeep", "%s", e->why.c_str());
   accord_.propose(now, std::move(*e), [this](const std::optional<shared_config::Verdict>& v) {
     if (v && !v->number) log("upkeep", "refused: %s", v->refused.c_str());
-    conduct_.settled(v && v->number);
+    conduct_.record_proposal_result(v && v->number);
   });
 }
 
 void Works::heard(Time now, const Program& program, const std::string& from, std::string_view bytes) {
-  auto m = maintenance::decode(bytes);
+  auto m = maintenance::decode_message(bytes);
   if (!m) return;
-  if (m->clear) conduct_.heard(now, from, std::move(*m->clear));
-  if (m->stand_down) stand_down(program, m->stand_down);
+  if (m->open_attempts) conduct_.record_report(now, from, std::move(*m->open_attempts));
+  if (m->stop_for_job) stand_down(program, m->stop_for_job);
 }
 
 // Its front hears of it by its health first; then all goes as SIGTERM does.
@@ -140,21 +141,21 @@
 void Works::applied() {
   const auto* works = book();
   if (!works || !event_log_) return;
-  for (const auto& [n, w] : works->all()) {
-    const auto [it, fresh] = recorded_.try_emplace(n, w.step);
-    if (!fresh && it->second == w.step) continue;
-    it->second = w.step;
+  for (const auto& [n, w] : works->jobs()) {
+    const auto [it, fresh] = recorded_.try_emplace(n, w.state);
+    if (!fresh && it->second == w.state) continue;
+    it->second = w.state;
     std::string nodes;
-    for (const auto& node : w.request.nodes) nodes += (nodes.empty() ? "" : " ") + node;
+    for (const auto& node : w.request.endpoints) nodes += (nodes.empty() ? "" : " ") + node;
     event_log_->record_event("work")
         .with("work", n)
         .with("machine", w.request.machine)
-        .with("step", maintenance::name_of(w.step))
+        .with("step", maintenance::job_state_name(w.state))
         .with("nodes", nodes)
         .with("index", accord_.engine()->applied_index())
-        .with("why", w.last);
+        .with("why", w.state_reason);
   }
-  std::erase_if(recorded_, [&](const auto& r) { return !works->all().count(r.first); });
+  std::erase_if(recorded_, [&](const auto& r) { return !works->jobs().count(r.first); });
 }
 
 }  // namespace cairnhub::cluster
--- a/src/cluster/maintenance_agent.h
+++ b/src/cluster/maintenance_agent.h
@@ -46,20 +46,21 @@
         shared_config::Accord& accord, const membership::SwimMembership& peers,
         const zone_failover::Zones* zones, EventLog* event_log, Send send);
 
-  Time wake() const { return conduct_.wake(); }
+  Time wake() const { return conduct_.next_check_at(); }
   // `acted`: what the core acts on; `listed`: the own list's nodes, of that revision.
   void turn(Time now, const Program& program, const shared_config::Acting& acted,
             const std::map<std::string, Listed>& listed, std::uint64_t revision);
   void heard(Time now, const Program& program, const std::string& from, std::string_view bytes);
-  void gone(const std::string& broker) { conduct_.gone(broker); }
+  void gone(const std::string& broker) { conduct_.forget_broker(broker); }
   void applied();  // an entry on works was: its steps are recorded
 
   // For operators. The works as this broker's log has them; null where it runs none.
-  const maintenance::Works* book() const;
-  const maintenance::Conduct& conduct() const { return conduct_; }
+  const maintenance::JobQueue* book() const;
+  const maintenance::MaintenanceController& conduct() const { return conduct_; }
 
  private:
-  maintenance::Facts see(Time now, const std::map<std::string, Listed>& listed, std::uint64_t revision) const;
+  maintenance::FleetStatus see(Time now, const std::map<std::string, Listed>& listed,
+                               std::uint64_t revision) const;
   void stand_down(const Program& program, std::uint64_t work);
 
   const options::Fleet& options_;
@@ -68,10 +69,10 @@
   const zone_failover::Zones* zones_;
   EventLog* event_log_;
   Send send_;
-  maintenance::Conduct conduct_;
+  maintenance::MaintenanceController conduct_;
   int cells_, width_;
   Time warm_after_;
-  std::map<std::uint64_t, maintenance::Step> recorded_;  // works by their last recorded step
+  std::map<std::uint64_t, maintenance::JobState> recorded_;  // works by their last recorded step
   Timer leaves_;
   std::function<void()> stop_;
   bool standing_down_ = false;
--- a/src/maintenance/job_codec.h
+++ b/src/maintenance/job_codec.h
@@ -8,11 +8,11 @@
 
 namespace cairnhub::maintenance {
 
-struct Message {
-  std::optional<Clear> clear;
-  std::uint64_t stand_down = 0;  // not 0: the receiver's machine is taken out
+struct MaintenanceMessage {
+  std::optional<OpenAttemptsReport> open_attempts;
+  std::uint64_t stop_for_job = 0;  // not 0: the receiver's machine is taken out
 };
-std::string encode(const Message& message);
-std::optional<Message> decode(std::string_view bytes);
+std::string encode_message(const MaintenanceMessage& message);
+std::optional<MaintenanceMessage> decode_message(std::string_view bytes);
 
 }  // namespace cairnhub::maintenance
--- a/src/maintenance/job_queue.h
+++ b/src/maintenance/job_queue.h
@@ -23,133 +23,135 @@
 
 namespace cairnhub::maintenance {
 
-constexpr Time kMs = kSecond / 1000;
-
-struct Terms {
-  int holders_least = 1;                                  // warm ones that a shard keeps
-  int at_once = 1, a_rack = 1, a_zone = 1, a_region = 1;  // machines
-  double zone_keep = 0.5;                                 // of a zone's nodes, in service
-  double headroom = 0.1;                                  // of what they bear, free
-  Time lost_after = 3600 * kSecond;                       // past its stated length
-  Time around = 60 * kSecond;  // that draining and getting warm are taken to last, for the plan
-  bool stop_on_loss = true;    // a machine lost holds the queue until an operator says resume
-  bool operator==(const Terms&) const = default;
+constexpr Time kMillisecond = kSecond / 1000;
+
+struct MaintenanceLimits {
+  int min_warm_replicas = 1;  // warm ones that a shard keeps
+  int max_machines = 1, max_machines_per_rack = 1, max_machines_per_zone = 1,
+      max_machines_per_region = 1;         // machines
+  double min_zone_share_in_service = 0.5;  // of a zone's nodes, in service
+  double min_headroom_share = 0.1;         // of what they bear, free
+  Time lost_after = 3600 * kSecond;        // past its stated length
+  Time transition_time = 60 * kSecond;     // that draining and getting warm are taken to last, for the plan
+  bool holds_queue_on_loss = true;         // a machine lost holds the queue until an operator says resume
+  bool operator==(const MaintenanceLimits&) const = default;
 };
 
-struct Request {
+struct JobRequest {
   std::string machine;
-  std::vector<std::string> nodes, brokers;
-  std::vector<int> cells;          // of its nodes, as they were when it was taken: the list may drop them
-  std::string rack, zone, region;  // empty: as its first node's, or none
-  Time earliest = 0, latest = kNever, length = 0;
+  std::vector<std::string> endpoints, brokers;
+  std::vector<int> ring_positions;  // of its nodes, as they were when it was taken: the list may drop them
+  std::string rack, zone, region;   // empty: as its first node's, or none
+  Time earliest_start = 0, latest_end = kNever, duration = 0;
   int priority = 0;
-  bool emergency = false;
+  bool is_emergency = false;
 };
 
-enum class Step { queued, draining, empty, at_work, returning, done, cancelled, lost };
-const char* name_of(Step step);
+enum class JobState { kQueued, kDraining, kEmpty, kInMaintenance, kReturning, kDone, kCancelled, kLost };
+const char* job_state_name(JobState state);
 
-struct Work {
+struct Job {
   std::uint64_t number = 0;
-  Request request;
-  std::string who, why;
-  Step step = Step::queued;
-  Time since = 0;
-  bool held = false;
-  std::string last;  // why it is where it is
-  bool open() const { return step != Step::done && step != Step::cancelled; }
+  JobRequest request;
+  std::string requested_by, reason;
+  JobState state = JobState::kQueued;
+  Time state_since = 0;
+  bool is_held = false;
+  std::string state_reason;  // why it is where it is
+  bool is_open() const { return state != JobState::kDone && state != JobState::kCancelled; }
   // Its nodes are to be sent nothing.
-  bool takes_out() const {
-    return step == Step::draining || step == Step::empty || step == Step::at_work || step == Step::lost;
+  bool takes_endpoints_out() const {
+    return state == JobState::kDraining || state == JobState::kEmpty || state == JobState::kInMaintenance ||
+           state == JobState::kLost;
   }
-  bool under_way() const { return takes_out() || step == Step::returning; }
+  bool is_in_progress() const { return takes_endpoints_out() || state == JobState::kReturning; }
 };
 
-struct NodeFact {
-  int cell = 0;
+struct EndpointStatus {
+  int ring_position = 0;
   std::string zone;
-  bool ready = false, warm = false;
-  bool operator==(const NodeFact&) const = default;
+  bool is_ready = false, is_warm = false;
+  bool operator==(const EndpointStatus&) const = default;
 };
 
-struct ZoneFact {
+struct ZoneStatus {
   std::string region;
-  bool near = true;               // not in failover
-  double load = 0, capacity = 0;  // parts a second; 0: not known
-  bool operator==(const ZoneFact&) const = default;
+  bool serves_locally = true;                           // not in failover
+  double load_per_second = 0, capacity_per_second = 0;  // parts a second; 0: not known
+  bool operator==(const ZoneStatus&) const = default;
 };
 
 // What the leader sees, said to all: from here on every voter judges by it.
-struct Facts {
+struct FleetStatus {
   std::uint64_t revision = 0;
-  int cells = 0, width = 0;  // shard s is held by the nodes in cells s to s + width - 1
-  Terms terms;
-  std::map<std::string, NodeFact> nodes;
-  std::map<std::string, ZoneFact> zones;
+  int ring_size = 0, replicas_per_shard = 0;  // shard s is held by the nodes in cells s to s + width - 1
+  MaintenanceLimits limits;
+  std::map<std::string, EndpointStatus> endpoints;
+  std::map<std::string, ZoneStatus> zones;
   std::set<std::string> voters;
-  bool operator==(const Facts&) const = default;
+  bool operator==(const FleetStatus&) const = default;
 };
 
-struct Op {
-  Time at = 0;
-  std::optional<Request> request;
-  std::optional<Facts> facts;
-  struct Move {
-    std::uint64_t work;
-    Step from, to;
+struct JobOperation {
+  Time stated_at = 0;
+  std::optional<JobRequest> request;
+  std::optional<FleetStatus> fleet_status;
+  struct Transition {
+    std::uint64_t job;
+    JobState from, to;
   };
-  std::optional<Move> step;
+  std::optional<Transition> transition;
   std::optional<std::uint64_t> hold, resume, cancel, done;
 };
-std::string encode(const Op& op);  // text
-std::optional<Op> decode_op(const std::string& text);
+std::string encode_operation(const JobOperation& op);  // text
+std::optional<JobOperation> decode_operation(const std::string& text);
 
-class Works : public shared_config::Board {
+class JobQueue : public shared_config::Board {
  public:
   shared_config::Verdict apply(const shared_config::Entry& entry,
                                std::shared_ptr<const shared_config::Board>& next) const override;
   std::string snapshot() const override;
   std::shared_ptr<const shared_config::Board> restore(std::string_view bytes) const override;
 
-  const std::map<std::uint64_t, Work>& all() const { return works_; }
-  const Facts& facts() const { return facts_; }
-  Time facts_at() const { return facts_at_; }
-  bool held() const { return held_; }
-  std::set<std::string> out_nodes() const;  // of works that take theirs out
+  const std::map<std::uint64_t, Job>& jobs() const { return works_; }
+  const FleetStatus& fleet_status() const { return facts_; }
+  Time fleet_status_at() const { return facts_at_; }
+  bool is_held() const { return held_; }
+  std::set<std::string> endpoints_out() const;  // of works that take theirs out
 
   // What brokers without a lease are to be told beforehand to do without: these, and nodes of the next works
   // in turn, as long as every shard keeps a holder that such a broker may ask.
-  std::set<std::string> withheld_beforehand() const;
+  std::set<std::string> baseline_exclusions() const;
 
   // Why this may not be out beside the works under way, in words; empty: it may. `itself` is left out of
   // them.
-  std::string forbids(const Request& request, std::uint64_t itself) const;
+  std::string blocking_reason(const JobRequest& request, std::uint64_t itself) const;
   // Why it could not be out though nothing else were and every node were well; empty: it could.
-  std::string never_fits(const Request& request) const;
+  std::string permanent_blocking_reason(const JobRequest& request) const;
   // Shards that keep fewer than the stated number of warm holders while this is out.
-  std::vector<int> endangers(const Request& request) const;
-  std::vector<int> shards(const Request& request) const;  // that its nodes hold, sorted
-  std::string zone_of(const Request& request) const;
-  std::string region_of(const Request& request) const;
-  int voters_of(const Request& request) const;
+  std::vector<int> shards_below_min_replicas(const JobRequest& request) const;
+  std::vector<int> shards_of(const JobRequest& request) const;  // that its nodes hold, sorted
+  std::string zone_of(const JobRequest& request) const;
+  std::string region_of(const JobRequest& request) const;
+  int voter_count(const JobRequest& request) const;
   // How many nodes of a zone may be out together, as its stated share and its load allow; those that are out
   // for other reasons taken off.
-  int zone_nodes_most(const std::string& zone) const;
+  int max_zone_endpoints_out(const std::string& zone) const;
 
-  static constexpr std::size_t kOpen = 2000, kEnded = 256, kNodes = 4096;
+  static constexpr std::size_t kMaxOpenJobs = 2000, kMaxEndedJobs = 256, kMaxEndpoints = 4096;
 
  private:
-  shared_config::Verdict request(const shared_config::Entry& e, const Op& op);
-  shared_config::Verdict step(const shared_config::Entry& e, const Op& op);
-  shared_config::Verdict operators(const shared_config::Entry& e, const Op& op);
-  void to(Work& work, Step step, Time at, const std::string& why);
+  shared_config::Verdict request(const shared_config::Entry& e, const JobOperation& op);
+  shared_config::Verdict step(const shared_config::Entry& e, const JobOperation& op);
+  shared_config::Verdict operators(const shared_config::Entry& e, const JobOperation& op);
+  void to(Job& work, JobState step, Time at, const std::string& why);
   void forget_old();
-  bool holds(const NodeFact& node, int shard) const;
+  bool holds(const EndpointStatus& node, int shard) const;
   int warm_holders(int shard, const std::set<std::string>& out) const;
-  std::map<std::uint64_t, Work> works_;
+  std::map<std::uint64_t, Job> works_;
   std::uint64_t last_ = 0;
   bool held_ = false;
-  Facts facts_;
+  FleetStatus facts_;
   Time facts_at_ = 0;
 };
 
--- a/src/maintenance/job_scheduler.cpp
+++ b/src/maintenance/job_scheduler.cpp
@@ -21,7 +21,7 @@
 
 class Schedule {
  public:
-  Schedule(const std::vector<Job>& jobs, const Bounds& bounds, Time now)
+  Schedule(const std::vector<JobConstraints>& jobs, const PlacementLimits& bounds, Time now)
       : jobs_(jobs), bounds_(bounds), now_(now), clash_(jobs.size(), std::vector<bool>(jobs.size(), false)) {
     std::map<int, std::vector<std::size_t>> holders;
     for (std::size_t i = 0; i < jobs.size(); ++i)
@@ -35,7 +35,7 @@
   }
 
   struct Made {
-    std::vector<Slot> slots;
+    std::vector<JobSlot> slots;
     std::tuple<long, Time, Time> worth;  // missed, weighted; end; sum of starts: less is better
   };
   Made make(const std::vector<std::size_t>& order) const {
@@ -43,21 +43,21 @@
     m.slots.resize(jobs_.size());
     std::vector<Placed> placed;
     for (std::size_t i = 0; i < jobs_.size(); ++i)
-      if (jobs_[i].begun) {
-        m.slots[i].start = *jobs_[i].begun;
+      if (jobs_[i].started_at) {
+        m.slots[i].start = *jobs_[i].started_at;
         // One that takes longer than thought is over any moment, for all that can be planned.
-        put(placed, {i, *jobs_[i].begun, std::max(*jobs_[i].begun + jobs_[i].length, now_ + 1)});
+        put(placed, {i, *jobs_[i].started_at, std::max(*jobs_[i].started_at + jobs_[i].duration, now_ + 1)});
       }
     long missed = 0;
     Time end = 0, sum = 0;
     for (const std::size_t i : order) {
-      const Job& j = jobs_[i];
+      const JobConstraints& j = jobs_[i];
       const Time at = earliest(i, placed);
-      Slot& s = m.slots[i];
-      s.start = at, s.in_time = j.latest == kNever || at + j.length <= j.latest;
-      if (!s.in_time) missed += 1 + std::max(0, j.priority);
-      put(placed, {i, at, at + j.length});
-      end = std::max(end, at + j.length), sum += (at - now_) / kSecond;
+      JobSlot& s = m.slots[i];
+      s.start = at, s.is_in_time = j.latest_end == kNever || at + j.duration <= j.latest_end;
+      if (!s.is_in_time) missed += 1 + std::max(0, j.priority);
+      put(placed, {i, at, at + j.duration});
+      end = std::max(end, at + j.duration), sum += (at - now_) / kSecond;
     }
     m.worth = {missed, end, sum};
     return m;
@@ -76,8 +76,8 @@
   }
   // The earliest time that goes together with what is placed.
   Time earliest(std::size_t i, const std::vector<Placed>& placed) const {
-    const Job& j = jobs_[i];
-    Time at = std::max(now_, j.earliest);
+    const JobConstraints& j = jobs_[i];
+    Time at = std::max(now_, j.earliest_start);
     std::vector<const Placed*> beside;
     auto from = placed.begin();
     for (;;) {
@@ -86,7 +86,7 @@
       Time next = kNever;  // a time worth trying if this one will not do
       bool clash = false;
       for (auto p = from; p != placed.end(); ++p) {
-        if (p->start >= at + j.length) continue;
+        if (p->start >= at + j.duration) continue;
         next = std::min(next, p->end);
         // Nothing earlier than its end will do, whatever else ends before.
         if (clash_[i][p->job]) clash = true, next = p->end;
@@ -98,39 +98,41 @@
     }
   }
   // The bounds hold at its start and whenever another begins while it is out.
-  bool fits(const Job& j, Time at, const std::vector<const Placed*>& beside) const {
+  bool fits(const JobConstraints& j, Time at, const std::vector<const Placed*>& beside) const {
     const auto holds = [&](Time t) {
-      int all = 1, rack = 1, zone = 1, region = 1, nodes = j.nodes, voters = j.voters;
+      int all = 1, rack = 1, zone = 1, region = 1, nodes = j.endpoint_count, voters = j.voter_count;
       for (const Placed* p : beside) {
         if (p->start > t || p->end <= t) continue;
-        const Job& o = jobs_[p->job];
-        ++all, voters += o.voters;
+        const JobConstraints& o = jobs_[p->job];
+        ++all, voters += o.voter_count;
         rack += j.rack >= 0 && o.rack == j.rack, region += j.region >= 0 && o.region == j.region;
-        if (j.zone >= 0 && o.zone == j.zone) ++zone, nodes += o.nodes;
+        if (j.zone >= 0 && o.zone == j.zone) ++zone, nodes += o.endpoint_count;
       }
       if (all == 1) return true;  // alone it goes, as its taking up has shown
-      return all <= bounds_.at_once && rack <= bounds_.a_rack && zone <= bounds_.a_zone &&
-             region <= bounds_.a_region && (j.voters == 0 || voters <= bounds_.voters) &&
-             (j.zone < 0 || nodes <= bounds_.zone_nodes.at(static_cast<std::size_t>(j.zone)));
+      return all <= bounds_.max_machines && rack <= bounds_.max_machines_per_rack &&
+             zone <= bounds_.max_machines_per_zone && region <= bounds_.max_machines_per_region &&
+             (j.voter_count == 0 || voters <= bounds_.max_voters) &&
+             (j.zone < 0 || nodes <= bounds_.max_endpoints_by_zone.at(static_cast<std::size_t>(j.zone)));
     };
     if (!holds(at)) return false;
     return std::all_of(beside.begin(), beside.end(),
                        [&](const Placed* p) { return p->start <= at || holds(p->start); });
   }
 
-  const std::vector<Job>& jobs_;
-  const Bounds& bounds_;
+  const std::vector<JobConstraints>& jobs_;
+  const PlacementLimits& bounds_;
   Time now_;
   std::vector<std::vector<bool>> clash_;
 };
 
 }  // namespace
 
-std::vector<Slot> schedule(const std::vector<Job>& jobs, const Bounds& bounds, Time now) {
+std::vector<JobSlot> schedule_jobs(const std::vector<JobConstraints>& jobs, const PlacementLimits& bounds,
+                                   Time now) {
   const Schedule s(jobs, bounds, now);
   std::vector<std::size_t> waiting;
   for (std::size_t i = 0; i < jobs.size(); ++i)
-    if (!jobs[i].begun) waiting.push_back(i);
+    if (!jobs[i].started_at) waiting.push_back(i);
   std::vector<int> clashes(jobs.size());
   for (const std::size_t i : waiting) clashes[i] = s.clashes(i);
   const auto by = [&](auto key) {
@@ -140,7 +142,7 @@
     return order;
   };
   const auto slack = [&](std::size_t i) {  // the last moment it may begin
-    return jobs[i].latest == kNever ? kNever : jobs[i].latest - jobs[i].length;
+    return jobs[i].latest_end == kNever ? kNever : jobs[i].latest_end - jobs[i].duration;
   };
   std::vector<std::size_t> best;
   Schedule::Made made;
@@ -153,9 +155,9 @@
   consider(by([&](auto i) { return std::tuple(-jobs[i].priority, slack(i), -clashes[i], jobs[i].id); }));
   if (waiting.size() > kMany) return made.slots;
   consider(
-      by([&](auto i) { return std::tuple(slack(i) == kNever, -clashes[i], -jobs[i].length, jobs[i].id); }));
+      by([&](auto i) { return std::tuple(slack(i) == kNever, -clashes[i], -jobs[i].duration, jobs[i].id); }));
   consider(
-      by([&](auto i) { return std::tuple(slack(i) == kNever, -jobs[i].length, -clashes[i], jobs[i].id); }));
+      by([&](auto i) { return std::tuple(slack(i) == kNever, -jobs[i].duration, -clashes[i], jobs[i].id); }));
   if (waiting.size() > 1) {
     Chance chance(1);
     const std::size_t tries = std::min(kExchangesMost, kExchanges / waiting.size());
@@ -174,48 +176,49 @@
   return made.slots;
 }
 
-Time end_of(const std::vector<Job>& jobs, const std::vector<Slot>& slots) {
+Time schedule_end(const std::vector<JobConstraints>& jobs, const std::vector<JobSlot>& slots) {
   Time end = 0;
   for (std::size_t i = 0; i < jobs.size(); ++i)
-    if (slots[i].start != kNever) end = std::max(end, slots[i].start + jobs[i].length);
+    if (slots[i].start != kNever) end = std::max(end, slots[i].start + jobs[i].duration);
   return end;
 }
 
-std::vector<Planned> plan(const Works& works, Time now, const Request* further,
-                          const std::set<std::uint64_t>& passed) {
-  const Terms& terms = works.facts().terms;
-  Bounds bounds{terms.at_once,
-                terms.a_rack,
-                terms.a_zone,
-                terms.a_region,
-                std::max(0, (static_cast<int>(works.facts().voters.size()) - 1) / 2),
-                {}};
+std::vector<PlannedJob> plan_jobs(const JobQueue& works, Time now, const JobRequest* further,
+                                  const std::set<std::uint64_t>& passed) {
+  const MaintenanceLimits& terms = works.fleet_status().limits;
+  PlacementLimits bounds{terms.max_machines,
+                         terms.max_machines_per_rack,
+                         terms.max_machines_per_zone,
+                         terms.max_machines_per_region,
+                         std::max(0, (static_cast<int>(works.fleet_status().voters.size()) - 1) / 2),
+                         {}};
   std::map<std::string, int> racks, zones, regions;
   const auto number = [](std::map<std::string, int>& of, const std::string& name) {
     return name.empty() ? -1 : of.try_emplace(name, static_cast<int>(of.size())).first->second;
   };
-  std::vector<Job> jobs;
-  const auto add = [&](std::uint64_t id, const Request& r) -> Job& {
-    Job j;
-    j.id = id, j.earliest = r.earliest, j.latest = r.latest, j.length = r.length + terms.around;
-    j.priority = r.priority, j.shards = works.shards(r);
+  std::vector<JobConstraints> jobs;
+  const auto add = [&](std::uint64_t id, const JobRequest& r) -> JobConstraints& {
+    JobConstraints j;
+    j.id = id, j.earliest_start = r.earliest_start, j.latest_end = r.latest_end,
+    j.duration = r.duration + terms.transition_time;
+    j.priority = r.priority, j.shards = works.shards_of(r);
     j.rack = number(racks, r.rack), j.zone = number(zones, works.zone_of(r));
     j.region = number(regions, works.region_of(r));
-    j.nodes = static_cast<int>(r.nodes.size()), j.voters = works.voters_of(r);
+    j.endpoint_count = static_cast<int>(r.endpoints.size()), j.voter_count = works.voter_count(r);
     return jobs.emplace_back(std::move(j));
   };
-  std::vector<const Work*> waiting;
-  for (const auto& [n, w] : works.all()) {
-    if (w.step == Step::lost || !w.open()) continue;
-    if (w.under_way())
-      add(n, w.request).begun = w.since;
-    else if (!w.held && !passed.count(n))
+  std::vector<const Job*> waiting;
+  for (const auto& [n, w] : works.jobs()) {
+    if (w.state == JobState::kLost || !w.is_open()) continue;
+    if (w.is_in_progress())
+      add(n, w.request).started_at = w.state_since;
+    else if (!w.is_held && !passed.count(n))
       waiting.push_back(&w);
   }
-  std::vector<Planned> out;
-  std::stable_sort(waiting.begin(), waiting.end(), [](const Work* a, const Work* b) {
-    return std::tuple(a->request.latest, -a->request.priority) <
-           std::tuple(b->request.latest, -b->request.priority);
+  std::vector<PlannedJob> out;
+  std::stable_sort(waiting.begin(), waiting.end(), [](const Job* a, const Job* b) {
+    return std::tuple(a->request.latest_end, -a->request.priority) <
+           std::tuple(b->request.latest_end, -b->request.priority);
   });
   for (std::size_t i = 0; i < waiting.size(); ++i)
     if (i < kPlannedMost)
@@ -223,14 +226,14 @@
     else
       out.push_back({waiting[i]->number, kNever, true});
   if (further) add(0, *further);
-  bounds.zone_nodes.resize(zones.size());
+  bounds.max_endpoints_by_zone.resize(zones.size());
   for (const auto& [zone, n] : zones)
-    bounds.zone_nodes[static_cast<std::size_t>(n)] = works.zone_nodes_most(zone);
-  const std::vector<Slot> slots = schedule(jobs, bounds, now);
+    bounds.max_endpoints_by_zone[static_cast<std::size_t>(n)] = works.max_zone_endpoints_out(zone);
+  const std::vector<JobSlot> slots = schedule_jobs(jobs, bounds, now);
   for (std::size_t i = 0; i < jobs.size(); ++i)
-    if (!jobs[i].begun) out.push_back({jobs[i].id, slots[i].start, slots[i].in_time});
-  std::sort(out.begin(), out.end(), [](const Planned& a, const Planned& b) {
-    return std::tuple(a.start, a.work) < std::tuple(b.start, b.work);
+    if (!jobs[i].started_at) out.push_back({jobs[i].id, slots[i].start, slots[i].is_in_time});
+  std::sort(out.begin(), out.end(), [](const PlannedJob& a, const PlannedJob& b) {
+    return std::tuple(a.start, a.job) < std::tuple(b.start, b.job);
   });
   return out;
 }
--- a/src/maintenance/job_scheduler.h
+++ b/src/maintenance/job_scheduler.h
@@ -17,39 +17,41 @@
 namespace cairnhub::maintenance {
 
 // A work as the schedule sees it.
-struct Job {
+struct JobConstraints {
   std::uint64_t id = 0;
-  Time earliest = 0, latest = kNever;  // its end, back in service, by `latest`
-  Time length = 0;                     // from the first step out to the last one back
+  Time earliest_start = 0, latest_end = kNever;  // its end, back in service, by `latest`
+  Time duration = 0;                             // from the first step out to the last one back
   int priority = 0;
   std::vector<int> shards;  // sorted; no two at once
-  int rack = -1, zone = -1, region = -1, nodes = 0, voters = 0;
-  std::optional<Time> begun;  // under way since: it is where it is
+  int rack = -1, zone = -1, region = -1, endpoint_count = 0, voter_count = 0;
+  std::optional<Time> started_at;  // under way since: it is where it is
 };
 
-struct Bounds {
-  int at_once = 1, a_rack = 1, a_zone = 1, a_region = 1, voters = 0;
-  std::vector<int> zone_nodes;  // by zone
+struct PlacementLimits {
+  int max_machines = 1, max_machines_per_rack = 1, max_machines_per_zone = 1, max_machines_per_region = 1,
+      max_voters = 0;
+  std::vector<int> max_endpoints_by_zone;  // by zone
 };
 
-struct Slot {
+struct JobSlot {
   Time start = kNever;
-  bool in_time = true;  // over by its latest
+  bool is_in_time = true;  // over by its latest
 };
 
 // By job, as given. Nothing begins before `now`.
-std::vector<Slot> schedule(const std::vector<Job>& jobs, const Bounds& bounds, Time now);
+std::vector<JobSlot> schedule_jobs(const std::vector<JobConstraints>& jobs, const PlacementLimits& bounds,
+                                   Time now);
 // When all are over, of those placed.
-Time end_of(const std::vector<Job>& jobs, const std::vector<Slot>& slots);
+Time schedule_end(const std::vector<JobConstraints>& jobs, const std::vector<JobSlot>& slots);
 
-struct Planned {
-  std::uint64_t work = 0;
+struct PlannedJob {
+  std::uint64_t job = 0;
   Time start = kNever;  // kNever: after all that are planned, of which there are as many as one looks at
-  bool in_time = true;
+  bool is_in_time = true;
 };
 // The works that wait, and where `further` is stated that one too, as number 0. Those held are left out, and
 // those named in `passed`.
-std::vector<Planned> plan(const Works& works, Time now, const Request* further = nullptr,
-                          const std::set<std::uint64_t>& passed = {});
+std::vector<PlannedJob> plan_jobs(const JobQueue& works, Time now, const JobRequest* further = nullptr,
+                                  const std::set<std::uint64_t>& passed = {});
 
 }  // namespace cairnhub::maintenance
--- a/src/maintenance/maintenance_controller.h
+++ b/src/maintenance/maintenance_controller.h
@@ -25,80 +25,82 @@
 
 namespace cairnhub::maintenance {
 
-struct ConductTerms {
-  Time every = kSecond / 10;       // between two looks
-  Time facts_every = kSecond / 4;  // between two sayings of what is seen
-  Time longest_send = 0;           // a part is out no longer
-  Time warm_after = 0;             // a node that has started is cold for so long
-  double drift = 0.01;
-  double load_step = 0.2;  // a change of a zone's load that is worth saying
+struct MaintenanceControllerOptions {
+  Time check_interval = kSecond / 10;  // between two looks
+  Time status_interval = kSecond / 4;  // between two sayings of what is seen
+  Time max_attempt_time = 0;           // a part is out no longer
+  Time warm_up_time = 0;               // a node that has started is cold for so long
+  double max_clock_drift = 0.01;
+  double min_load_change_share = 0.2;  // a change of a zone's load that is worth saying
 };
 
 // What a broker says of nodes that are out: how many of its sends are still there.
-struct Clear {
-  Time at = 0;            // when it was heard
-  std::uint64_t low = 0;  // of the lease it acted under; 0: none
-  std::map<std::string, int> out;
+struct OpenAttemptsReport {
+  Time received_at = 0;                 // when it was heard
+  std::uint64_t lease_low_version = 0;  // of the lease it acted under; 0: none
+  std::map<std::string, int> by_endpoint;
 };
 
 // What the leader sees beside the log.
-struct Seen {
-  Facts facts;  // terms included
-  std::map<std::string, shared_config::Leases::Held> held;
-  std::set<std::string> alive, voters;  // brokers; voters as the log has them now
+struct LeaderView {
+  FleetStatus fleet_status;  // terms included
+  std::map<std::string, shared_config::Leases::Held> leases;
+  std::set<std::string> live_brokers, voters;  // brokers; voters as the log has them now
 };
 
-class Conduct {
+class MaintenanceController {
  public:
-  Conduct(const ConductTerms& terms, std::string self) : terms_(terms), self_(std::move(self)) {}
+  MaintenanceController(const MaintenanceControllerOptions& terms, std::string self)
+      : terms_(terms), self_(std::move(self)) {}
 
-  Time wake() const { return next_; }
-  void heard(Time now, const std::string& from, Clear clear);
-  void gone(const std::string& broker) { clears_.erase(broker); }
+  Time next_check_at() const { return next_; }
+  void record_report(Time now, const std::string& from, OpenAttemptsReport clear);
+  void forget_broker(const std::string& broker) { clears_.erase(broker); }
   // Where this broker leads, at every look: what to propose, if anything; then told how it ended. What was
   // taken may make the next thing due at once; what was refused waits for the next look.
-  std::optional<shared_config::Entry> lead(Time now, Time wall, const shared_config::Versions& book,
-                                           const Seen& seen);
-  void settled(bool taken) {
+  std::optional<shared_config::Entry> next_entry(Time now, Time wall, const shared_config::Versions& book,
+                                                 const LeaderView& seen);
+  void record_proposal_result(bool taken) {
     out_ = false;
     if (taken) next_ = 0;
   }
-  void leads_no_more();
-  void looked(Time now) { next_ = now + terms_.every; }
+  void stop_leading();
+  void schedule_next_check(Time now) { next_ = now + terms_.check_interval; }
 
   // Brokers of machines that are being taken out, and of them those that are to leave now.
-  std::set<std::string> retiring(const Works& works) const;
-  const std::set<std::string>& stand_down() const { return stand_down_; }
+  std::set<std::string> retiring_brokers(const JobQueue& works) const;
+  const std::set<std::string>& brokers_to_stop() const { return stand_down_; }
   // All that its further way depends on, spans counted from `now`, for the exhaustive check.
-  void describe(Time now, std::string& into) const;
+  void append_state(Time now, std::string& into) const;
   // By work under way: what its next step waits for.
-  const std::map<std::uint64_t, std::string>& waits() const { return waits_; }
+  const std::map<std::uint64_t, std::string>& waiting_reasons() const { return waits_; }
 
  private:
   shared_config::Entry entry(shared_config::Entry::Kind kind, Time now, const std::string& why);
-  shared_config::Entry move(Time now, Time wall, const Work& work, Step to, const std::string& why);
+  shared_config::Entry move(Time now, Time wall, const Job& work, JobState to, const std::string& why);
   std::optional<shared_config::Entry> withhold(Time now, const shared_config::Versions& book,
-                                               const Works& works);
+                                               const JobQueue& works);
   std::optional<shared_config::Entry> advance(Time now, Time wall, const shared_config::Versions& book,
-                                              const Works& works, const Seen& seen);
+                                              const JobQueue& works, const LeaderView& seen);
   std::optional<shared_config::Entry> begin(Time now, Time wall,
                                             const std::shared_ptr<const shared_config::Board>& board,
-                                            const Works& works);
-  bool overdue(Time now, Time wall, const Work& work, Time length, const Facts& facts);
-  std::string not_clear(Time now, const Work& work, const shared_config::Versions& book, const Seen& seen);
-  bool worth_saying(const Facts& said, const Facts& seen) const;
+                                            const JobQueue& works);
+  bool overdue(Time now, Time wall, const Job& work, Time length, const FleetStatus& facts);
+  std::string not_clear(Time now, const Job& work, const shared_config::Versions& book,
+                        const LeaderView& seen);
+  bool worth_saying(const FleetStatus& said, const FleetStatus& seen) const;
 
-  ConductTerms terms_;
+  MaintenanceControllerOptions terms_;
   std::string self_;
   Time next_ = 0, facts_next_ = 0;
   bool out_ = false;  // an entry is on its way
   std::uint64_t said_ = 0;
-  std::map<std::string, Clear> clears_;           // by broker: as many as the roster
-  std::map<std::uint64_t, Time> withheld_since_;  // works: since when their nodes are surely sent nothing
+  std::map<std::string, OpenAttemptsReport> clears_;  // by broker: as many as the roster
+  std::map<std::uint64_t, Time> withheld_since_;      // works: since when their nodes are surely sent nothing
   // Works: the step that this leader sees them at, and since when. Danger: steps are stamped by wall clocks,
   // each by whoever said it; one that is off by an hour would make a machine lost that has just come back.
   struct At {
-    Step step;
+    JobState step;
     Time since;
   };
   std::map<std::uint64_t, At> seen_at_;
@@ -110,7 +112,7 @@
   // Works whose turn has come and that may not begin: since when; and of them those that others pass by.
   std::map<std::uint64_t, Time> stuck_since_;
   std::set<std::uint64_t> passed_;
-  std::vector<Planned> plan_;
+  std::vector<PlannedJob> plan_;
 };
 
 }  // namespace cairnhub::maintenance
--- a/tests/cluster/work_world.h
+++ b/tests/cluster/work_world.h
@@ -51,7 +51,7 @@
         size_(size),
         way_(way),
         without_(without),
-        book_(std::make_shared<maintenance::Works>()) {
+        book_(std::make_shared<maintenance::JobQueue>()) {
     hosts_.resize(static_cast<std::size_t>(size.hosts));
     for (int h = 0; h < size.hosts; ++h) {
       Host& x = hosts_[static_cast<std::size_t>(h)];
@@ -66,7 +66,7 @@
       e.kind = shared_config::Entry::Kind::enlist, e.name = x.name;
       book_.apply(e);
     }
-    conduct_ = std::make_unique<maintenance::Conduct>(conduct_terms(), kLeader);
+    conduct_ = std::make_unique<maintenance::MaintenanceController>(conduct_terms(), kLeader);
     leases_.leads(now_ - 2 * kSecond, 1, {kLeader}, kLeader);
     std::vector<int> order(hosts_.size());
     for (std::size_t h = 0; h < order.size(); ++h) order[h] = static_cast<int>(h);
@@ -108,12 +108,12 @@
   std::string open_works() const {
     std::string all;
     for (const Job& j : jobs_) {
-      const auto it = works().all().find(j.work);
+      const auto it = works().jobs().find(j.work);
       if (j.end || j.lost) continue;
-      const auto why = conduct_->waits().find(j.work);
+      const auto why = conduct_->waiting_reasons().find(j.work);
       all += hosts_[static_cast<std::size_t>(j.host)].name + " " +
-             (it == works().all().end() ? "unknown" : maintenance::name_of(it->second.step)) + ", " +
-             (why == conduct_->waits().end() ? it->second.last : why->second) + "; ";
+             (it == works().jobs().end() ? "unknown" : maintenance::job_state_name(it->second.state)) + ", " +
+             (why == conduct_->waiting_reasons().end() ? it->second.state_reason : why->second) + "; ";
     }
     return all;
   }
@@ -159,7 +159,7 @@
     std::uint64_t term;
     std::optional<shared_config::Ask> ask;
     std::optional<shared_config::Grant> grant;
-    std::optional<maintenance::Clear> clear;
+    std::optional<maintenance::OpenAttemptsReport> clear;
   };
 
   unsigned below(unsigned n) { return static_cast<unsigned>(chance_() % n); }
@@ -169,10 +169,10 @@
     t.stated = kSecond;
     return t;
   }
-  maintenance::ConductTerms conduct_terms() const {
-    maintenance::ConductTerms t;
-    t.longest_send = without_ == 2 ? 0 : kLongest;
-    t.warm_after = without_ == 3 ? 0 : kWarm;
+  maintenance::MaintenanceControllerOptions conduct_terms() const {
+    maintenance::MaintenanceControllerOptions t;
+    t.max_attempt_time = without_ == 2 ? 0 : kLongest;
+    t.warm_up_time = without_ == 3 ? 0 : kWarm;
     return t;
   }
 
@@ -233,7 +233,7 @@
       leaderless_until_ = 0;
       leases_ = shared_config::Leases(lease_terms());
       leases_.leads(now_, ++term_, {kLeader}, kLeader);
-      conduct_ = std::make_unique<maintenance::Conduct>(conduct_terms(), kLeader);
+      conduct_ = std::make_unique<maintenance::MaintenanceController>(conduct_terms(), kLeader);
     }
     // Lists arrive at each broker when they do; one that is cut off from all goes by the old one.
     for (auto it = listed_at_.begin(); it != listed_at_.end();) {
@@ -273,7 +273,7 @@
       if (m.to_leader) {
         if (leaderless_until_) continue;
         if (m.ask) leases_.asked(now_, b.name, *m.ask);
-        if (m.clear) conduct_->heard(now_, b.name, std::move(*m.clear));
+        if (m.clear) conduct_->record_report(now_, b.name, std::move(*m.clear));
       } else if (m.grant) {
         b.holder->answered(now_, *m.grant);
       }
@@ -293,32 +293,37 @@
       const auto& acting = *b.holder->acting(now_);
       if (now_ >= b.says_at && acting.low && !acting.rules->at_work.empty()) {
         b.says_at = now_ + kSecond / 10;
-        maintenance::Clear c;
-        c.low = acting.low;
+        maintenance::OpenAttemptsReport c;
+        c.lease_low_version = acting.low;
         for (const auto& node : acting.rules->at_work) {
           const int h = std::stoi(node.substr(2));
-          c.out[node] = static_cast<int>(
+          c.by_endpoint[node] = static_cast<int>(
               std::count_if(b.out.begin(), b.out.end(), [&](const Part& p) { return p.host == h; }));
-          if (without_ == 1) c.out[node] = 0;
+          if (without_ == 1) c.by_endpoint[node] = 0;
         }
         mail_.push_back({now_ + kStep, i, true, term_, {}, {}, std::move(c)});
       }
     }
   }
 
-  maintenance::Facts facts() const {
-    maintenance::Facts f;
-    f.cells = size_.hosts, f.width = size_.width, f.revision = 1;
-    f.terms.holders_least = size_.least, f.terms.at_once = way_ == Way::one_by_one ? 1 : size_.at_once;
-    f.terms.a_rack = 1, f.terms.a_zone = f.terms.a_region = size_.at_once, f.terms.around = 5 * kSecond;
-    f.terms.lost_after = 20 * kSecond, f.terms.stop_on_loss = false;
+  maintenance::FleetStatus facts() const {
+    maintenance::FleetStatus f;
+    f.ring_size = size_.hosts, f.replicas_per_shard = size_.width, f.revision = 1;
+    f.limits.min_warm_replicas = size_.least,
+    f.limits.max_machines = way_ == Way::one_by_one ? 1 : size_.at_once;
+    f.limits.max_machines_per_rack = 1,
+    f.limits.max_machines_per_zone = f.limits.max_machines_per_region = size_.at_once,
+    f.limits.transition_time = 5 * kSecond;
+    f.limits.lost_after = 20 * kSecond, f.limits.holds_queue_on_loss = false;
     for (int z = 0; z < size_.zones; ++z) f.zones["z" + std::to_string(z)] = {"r", !failing_.count(z), 0, 0};
     for (const Host& h : hosts_)
-      f.nodes[h.name] = {static_cast<int>(&h - hosts_.data()), "z" + std::to_string(h.zone),
-                         !h.dead && !h.drained, warm(h) || now_ < h.started + kListLag};
+      f.endpoints[h.name] = {static_cast<int>(&h - hosts_.data()), "z" + std::to_string(h.zone),
+                             !h.dead && !h.drained, warm(h) || now_ < h.started + kListLag};
     return f;
   }
-  const maintenance::Works& works() const { return static_cast<const maintenance::Works&>(*book_.board()); }
+  const maintenance::JobQueue& works() const {
+    return static_cast<const maintenance::JobQueue&>(*book_.board());
+  }
 
   void lead() {
     if (leaderless_until_) return;
@@ -327,17 +332,18 @@
       commit(shared_config::Entry::Kind::force_ground, book_.ground_next()->number);
     if (settling_ && now_ >= settling_) {
       settling_ = 0;
-      conduct_->settled(book_.apply(said_).number != 0);
+      conduct_->record_proposal_result(book_.apply(said_).number != 0);
       look_at_works();
     }
-    if (settling_ || now_ < conduct_->wake()) return;
-    conduct_->looked(now_);
+    if (settling_ || now_ < conduct_->next_check_at()) return;
+    conduct_->schedule_next_check(now_);
     ask_for_works();
-    maintenance::Seen seen;
-    seen.facts = facts(), seen.held = leases_.held();
+    maintenance::LeaderView seen;
+    seen.fleet_status = facts(), seen.leases = leases_.held();
     for (const Broker& b : brokers_)
-      if (reachable(b)) seen.alive.insert(b.name);
-    if (auto e = conduct_->lead(now_, now_, book_, seen)) said_ = std::move(*e), settling_ = now_ + kStep;
+      if (reachable(b)) seen.live_brokers.insert(b.name);
+    if (auto e = conduct_->next_entry(now_, now_, book_, seen))
+      said_ = std::move(*e), settling_ = now_ + kStep;
   }
   void commit(shared_config::Entry::Kind kind, std::uint64_t number) {
     shared_config::Entry e;
@@ -345,32 +351,32 @@
     book_.apply(e);
   }
   void ask_for_works() {
-    if (works().facts().cells == 0) return;
+    if (works().fleet_status().ring_size == 0) return;
     for (Job& j : jobs_) {
       if (j.work) continue;
       const Host& h = hosts_[static_cast<std::size_t>(j.host)];
       shared_config::Entry e;
       e.kind = shared_config::Entry::Kind::board, e.id = "ask-" + h.name, e.who = "crew";
-      maintenance::Op op;
-      op.at = now_, op.request.emplace();
-      op.request->machine = "m" + h.name, op.request->nodes = {h.name}, op.request->length = j.length;
+      maintenance::JobOperation op;
+      op.stated_at = now_, op.request.emplace();
+      op.request->machine = "m" + h.name, op.request->endpoints = {h.name}, op.request->duration = j.length;
       op.request->rack = "k" + std::to_string(h.rack);
-      e.text = maintenance::encode(op);
+      e.text = maintenance::encode_operation(op);
       j.work = book_.apply(e).number;
     }
   }
   // What the book says now against what it said: a work begun, called back, handed over, over.
   void look_at_works() {
     for (Job& j : jobs_) {
-      const auto it = works().all().find(j.work);
-      if (it == works().all().end()) continue;
-      const maintenance::Step step = it->second.step;
-      if (step == maintenance::Step::draining && !j.begun) begins(j);
-      if (step == maintenance::Step::queued && j.begun && !j.off_at)
+      const auto it = works().jobs().find(j.work);
+      if (it == works().jobs().end()) continue;
+      const maintenance::JobState step = it->second.state;
+      if (step == maintenance::JobState::kDraining && !j.begun) begins(j);
+      if (step == maintenance::JobState::kQueued && j.begun && !j.off_at)
         j.begun = 0, ++run_.called_back, out_.erase(j.host);
-      if (step == maintenance::Step::at_work && !j.off_at) off(j);
-      if (step == maintenance::Step::lost) j.lost = true;
-      if (step == maintenance::Step::done && !j.end) ends(j);
+      if (step == maintenance::JobState::kInMaintenance && !j.off_at) off(j);
+      if (step == maintenance::JobState::kLost) j.lost = true;
+      if (step == maintenance::JobState::kDone && !j.end) ends(j);
     }
   }
   void begins(Job& j) {
@@ -416,9 +422,9 @@
       }
       shared_config::Entry e;
       e.kind = shared_config::Entry::Kind::board, e.id = "back-" + h.name, e.who = "crew";
-      maintenance::Op op;
-      op.at = now_, op.done = j.work;
-      e.text = maintenance::encode(op);
+      maintenance::JobOperation op;
+      op.stated_at = now_, op.done = j.work;
+      e.text = maintenance::encode_operation(op);
       book_.apply(e);
     }
   }
@@ -483,7 +489,7 @@
   std::set<int> out_, failing_;
   shared_config::Versions book_;
   shared_config::Leases leases_{lease_terms()};
-  std::unique_ptr<maintenance::Conduct> conduct_;
+  std::unique_ptr<maintenance::MaintenanceController> conduct_;
   std::uint64_t term_ = 1;
   Time leaderless_until_ = 0, settling_ = 0;
   shared_config::Entry said_;
--- a/tests/golden/maintenance.cpp
+++ b/tests/golden/maintenance.cpp
@@ -10,112 +10,113 @@
 
 namespace {
 
-using maintenance::Facts;
-using maintenance::Op;
-using maintenance::Request;
-using maintenance::Step;
+using maintenance::FleetStatus;
+using maintenance::JobOperation;
+using maintenance::JobRequest;
+using maintenance::JobState;
 
-constexpr Time kAt = 1'700'000'000'000 * maintenance::kMs;
+constexpr Time kAt = 1'700'000'000'000 * maintenance::kMillisecond;
 constexpr std::uint64_t kJob = 300;
 // In the order of their numbers in the log and the snapshot.
-constexpr Step kSteps[] = {Step::queued,    Step::draining, Step::empty,     Step::at_work,
-                           Step::returning, Step::done,     Step::cancelled, Step::lost};
+constexpr JobState kSteps[] = {JobState::kQueued,        JobState::kDraining,  JobState::kEmpty,
+                               JobState::kInMaintenance, JobState::kReturning, JobState::kDone,
+                               JobState::kCancelled,     JobState::kLost};
 
-maintenance::Message message() {
-  maintenance::Message message;
-  message.clear.emplace();
-  message.clear->low = 18;
-  message.clear->out = {{"h1", 0}, {"h2", 700}};
-  message.stand_down = kJob;
+maintenance::MaintenanceMessage message() {
+  maintenance::MaintenanceMessage message;
+  message.open_attempts.emplace();
+  message.open_attempts->lease_low_version = 18;
+  message.open_attempts->by_endpoint = {{"h1", 0}, {"h2", 700}};
+  message.stop_for_job = kJob;
   return message;
 }
 
 void expect_message(const std::string& bytes) {
-  const auto read = maintenance::decode(bytes);
+  const auto read = maintenance::decode_message(bytes);
   ASSERT_TRUE(read.has_value());
-  ASSERT_TRUE(read->clear.has_value());
-  EXPECT_EQ(read->clear->low, 18U);
-  EXPECT_EQ(read->clear->out, message().clear->out);
-  EXPECT_EQ(read->stand_down, kJob);
+  ASSERT_TRUE(read->open_attempts.has_value());
+  EXPECT_EQ(read->open_attempts->lease_low_version, 18U);
+  EXPECT_EQ(read->open_attempts->by_endpoint, message().open_attempts->by_endpoint);
+  EXPECT_EQ(read->stop_for_job, kJob);
 }
 
-Request request() {
-  Request request;
+JobRequest request() {
+  JobRequest request;
   request.machine = "m1";
-  request.nodes = {"h1", "h2"};
+  request.endpoints = {"h1", "h2"};
   request.brokers = {"b1"};
-  request.cells = {4, 5};
+  request.ring_positions = {4, 5};
   request.rack = "r1";
   request.zone = "east";
   request.region = "north";
-  request.earliest = kAt + kSecond;
-  request.latest = kAt + 2 * kSecond;
-  request.length = 600 * kSecond;
+  request.earliest_start = kAt + kSecond;
+  request.latest_end = kAt + 2 * kSecond;
+  request.duration = 600 * kSecond;
   request.priority = -7;
-  request.emergency = true;
+  request.is_emergency = true;
   return request;
 }
 
-void expect_request(const Request& read) {
-  const Request wanted = request();
+void expect_request(const JobRequest& read) {
+  const JobRequest wanted = request();
   EXPECT_EQ(read.machine, wanted.machine);
-  EXPECT_EQ(read.nodes, wanted.nodes);
+  EXPECT_EQ(read.endpoints, wanted.endpoints);
   EXPECT_EQ(read.brokers, wanted.brokers);
-  EXPECT_EQ(read.cells, wanted.cells);
+  EXPECT_EQ(read.ring_positions, wanted.ring_positions);
   EXPECT_EQ(read.rack, wanted.rack);
   EXPECT_EQ(read.zone, wanted.zone);
   EXPECT_EQ(read.region, wanted.region);
-  EXPECT_EQ(read.earliest, wanted.earliest);
-  EXPECT_EQ(read.latest, wanted.latest);
-  EXPECT_EQ(read.length, wanted.length);
+  EXPECT_EQ(read.earliest_start, wanted.earliest_start);
+  EXPECT_EQ(read.latest_end, wanted.latest_end);
+  EXPECT_EQ(read.duration, wanted.duration);
   EXPECT_EQ(read.priority, wanted.priority);
-  EXPECT_EQ(read.emergency, wanted.emergency);
+  EXPECT_EQ(read.is_emergency, wanted.is_emergency);
 }
 
-Facts facts() {
-  Facts facts;
+FleetStatus facts() {
+  FleetStatus facts;
   facts.revision = 41;
-  facts.cells = 20;
-  facts.width = 3;
-  facts.terms = {1, 2, 3, 4, 5, 0.25, 0.125, 3600 * kSecond, 60 * kSecond, true};
-  facts.nodes["h1"] = {4, "east", true, false};
-  facts.nodes["h2"] = {5, "east", false, true};
+  facts.ring_size = 20;
+  facts.replicas_per_shard = 3;
+  facts.limits = {1, 2, 3, 4, 5, 0.25, 0.125, 3600 * kSecond, 60 * kSecond, true};
+  facts.endpoints["h1"] = {4, "east", true, false};
+  facts.endpoints["h2"] = {5, "east", false, true};
   facts.zones["east"] = {"north", true, 120.5, 1000};
   facts.voters = {"b1", "b2"};
   return facts;
 }
 
-void expect_facts(const Facts& read) {
-  const Facts wanted = facts();
+void expect_facts(const FleetStatus& read) {
+  const FleetStatus wanted = facts();
   EXPECT_EQ(read.revision, wanted.revision);
-  EXPECT_EQ(read.cells, wanted.cells);
-  EXPECT_EQ(read.width, wanted.width);
-  EXPECT_TRUE(read.terms == wanted.terms);
-  EXPECT_TRUE(read.nodes == wanted.nodes);
+  EXPECT_EQ(read.ring_size, wanted.ring_size);
+  EXPECT_EQ(read.replicas_per_shard, wanted.replicas_per_shard);
+  EXPECT_TRUE(read.limits == wanted.limits);
+  EXPECT_TRUE(read.endpoints == wanted.endpoints);
   EXPECT_TRUE(read.zones == wanted.zones);
   EXPECT_EQ(read.voters, wanted.voters);
 }
 
-Op with_request() {
-  Op op;
+JobOperation with_request() {
+  JobOperation op;
   op.request = request();
   return op;
 }
 
-Op with_facts() {
-  Op op;
-  op.facts = facts();
+JobOperation with_facts() {
+  JobOperation op;
+  op.fleet_status = facts();
   return op;
 }
 
-Op with_step() {
-  Op op;
-  op.step = Op::Move{kJob, Step::returning, Step::lost};
+JobOperation with_step() {
+  JobOperation op;
+  op.transition = JobOperation::Transition{kJob, JobState::kReturning, JobState::kLost};
   return op;
 }
 
-Op with_operators_words() {
-  Op op;
+JobOperation with_operators_words() {
+  JobOperation op;
   op.hold = 1;
   op.resume = 2;
   op.cancel = 3;
@@ -123,21 +124,21 @@
   return op;
 }
 
-void expect_operation(const Op& read, const Op& wanted) {
-  EXPECT_EQ(read.at, kAt);
+void expect_operation(const JobOperation& read, const JobOperation& wanted) {
+  EXPECT_EQ(read.stated_at, kAt);
   ASSERT_EQ(read.request.has_value(), wanted.request.has_value());
   if (read.request) {
     expect_request(*read.request);
   }
-  ASSERT_EQ(read.facts.has_value(), wanted.facts.has_value());
-  if (read.facts) {
-    expect_facts(*read.facts);
+  ASSERT_EQ(read.fleet_status.has_value(), wanted.fleet_status.has_value());
+  if (read.fleet_status) {
+    expect_facts(*read.fleet_status);
   }
-  ASSERT_EQ(read.step.has_value(), wanted.step.has_value());
-  if (read.step) {
-    EXPECT_EQ(read.step->work, wanted.step->work);
-    EXPECT_EQ(read.step->from, wanted.step->from);
-    EXPECT_EQ(read.step->to, wanted.step->to);
+  ASSERT_EQ(read.transition.has_value(), wanted.transition.has_value());
+  if (read.transition) {
+    EXPECT_EQ(read.transition->job, wanted.transition->job);
+    EXPECT_EQ(read.transition->from, wanted.transition->from);
+    EXPECT_EQ(read.transition->to, wanted.transition->to);
   }
   EXPECT_EQ(read.hold, wanted.hold);
   EXPECT_EQ(read.resume, wanted.resume);
@@ -145,14 +146,14 @@
   EXPECT_EQ(read.done, wanted.done);
 }
 
-Golden operation(const std::string& name, Op (*build)()) {
+Golden operation(const std::string& name, JobOperation (*build)()) {
   const auto encode = [build] {
-    Op op = build();
-    op.at = kAt;
-    return maintenance::encode(op);
+    JobOperation op = build();
+    op.stated_at = kAt;
+    return maintenance::encode_operation(op);
   };
   const auto decode = [build](const std::string& bytes) {
-    const auto read = maintenance::decode_op(bytes);
+    const auto read = maintenance::decode_operation(bytes);
     ASSERT_TRUE(read.has_value());
     expect_operation(*read, build());
   };
@@ -225,52 +226,52 @@
   return state.SerializeAsString();
 }
 
-void expect_job(const maintenance::Work& job, int step) {
+void expect_job(const maintenance::Job& job, int step) {
   EXPECT_EQ(job.number, kJob + static_cast<std::uint64_t>(step));
-  EXPECT_EQ(job.step, kSteps[step]);
-  EXPECT_EQ(job.who, "ann");
-  EXPECT_EQ(job.why, "because");
-  EXPECT_EQ(job.since, kAt + step * maintenance::kMs);
-  EXPECT_TRUE(job.held);
-  EXPECT_EQ(job.last, "asked for");
-  const Request& asked = job.request;
+  EXPECT_EQ(job.state, kSteps[step]);
+  EXPECT_EQ(job.requested_by, "ann");
+  EXPECT_EQ(job.reason, "because");
+  EXPECT_EQ(job.state_since, kAt + step * maintenance::kMillisecond);
+  EXPECT_TRUE(job.is_held);
+  EXPECT_EQ(job.state_reason, "asked for");
+  const JobRequest& asked = job.request;
   EXPECT_EQ(asked.machine, "m" + std::to_string(step));
-  EXPECT_EQ(asked.nodes, std::vector<std::string>{"h1"});
+  EXPECT_EQ(asked.endpoints, std::vector<std::string>{"h1"});
   EXPECT_EQ(asked.brokers, std::vector<std::string>{"b1"});
   EXPECT_EQ(asked.rack, "r1");
   EXPECT_EQ(asked.zone, "east");
   EXPECT_EQ(asked.region, "north");
-  EXPECT_EQ(asked.earliest, 1 * maintenance::kMs);
-  EXPECT_EQ(asked.latest, 2 * maintenance::kMs);
-  EXPECT_EQ(asked.length, 3 * maintenance::kMs);
+  EXPECT_EQ(asked.earliest_start, 1 * maintenance::kMillisecond);
+  EXPECT_EQ(asked.latest_end, 2 * maintenance::kMillisecond);
+  EXPECT_EQ(asked.duration, 3 * maintenance::kMillisecond);
   EXPECT_EQ(asked.priority, -4);
-  EXPECT_TRUE(asked.emergency);
-  EXPECT_EQ(asked.cells, std::vector<int>{5});
+  EXPECT_TRUE(asked.is_emergency);
+  EXPECT_EQ(asked.ring_positions, std::vector<int>{5});
 }
 
 void expect_snapshot(const std::string& bytes) {
-  const auto board = maintenance::Works().restore(bytes);
-  const auto* jobs = dynamic_cast<const maintenance::Works*>(board.get());
+  const auto board = maintenance::JobQueue().restore(bytes);
+  const auto* jobs = dynamic_cast<const maintenance::JobQueue*>(board.get());
   ASSERT_NE(jobs, nullptr);
-  EXPECT_TRUE(jobs->held());
-  EXPECT_EQ(jobs->facts_at(), kAt);
-  ASSERT_EQ(jobs->all().size(), std::size(kSteps));
+  EXPECT_TRUE(jobs->is_held());
+  EXPECT_EQ(jobs->fleet_status_at(), kAt);
+  ASSERT_EQ(jobs->jobs().size(), std::size(kSteps));
   int step = 0;
-  for (const auto& [number, job] : jobs->all()) {
+  for (const auto& [number, job] : jobs->jobs()) {
     expect_job(job, step);
     ++step;
   }
-  Facts wanted = facts();
-  wanted.nodes = {{"h1", {4, "east", true, true}}};
+  FleetStatus wanted = facts();
+  wanted.endpoints = {{"h1", {4, "east", true, true}}};
   wanted.voters = {"b1"};
-  EXPECT_TRUE(jobs->facts() == wanted);
+  EXPECT_TRUE(jobs->fleet_status() == wanted);
   EXPECT_EQ(jobs->snapshot(), bytes);
 }
 
 }  // namespace
 
 std::vector<Golden> maintenance() {
-  return {{"maintenance.message", [] { return maintenance::encode(message()); }, expect_message},
+  return {{"maintenance.message", [] { return maintenance::encode_message(message()); }, expect_message},
           operation("request", with_request),
           operation("facts", with_facts),
           operation("step", with_step),
--- a/tests/stored/content.cpp
+++ b/tests/stored/content.cpp
@@ -12,10 +12,10 @@
 using shared_config::Entry;
 using Kind = Entry::Kind;
 using Entries = std::vector<Entry>;
-using maintenance::kMs;
-using maintenance::Step;
+using maintenance::JobState;
+using maintenance::kMillisecond;
 
-constexpr Time kWallClock = 1'700'000'000'000 * kMs;
+constexpr Time kWallClock = 1'700'000'000'000 * kMillisecond;
 constexpr int kPairsOfNodes = 10;
 constexpr int kCellsApart = 2;
 
@@ -77,70 +77,70 @@
   return made;
 }
 
-Entry job_entry(const std::string& id, maintenance::Op op, int seconds) {
-  op.at = kWallClock + seconds * kSecond;
-  return entry(Kind::board, id, maintenance::encode(op));
+Entry job_entry(const std::string& id, maintenance::JobOperation op, int seconds) {
+  op.stated_at = kWallClock + seconds * kSecond;
+  return entry(Kind::board, id, maintenance::encode_operation(op));
 }
 
 Entry facts(const std::string& id, bool all_warm, int seconds) {
-  maintenance::Facts seen;
+  maintenance::FleetStatus seen;
   seen.revision = 41;
-  seen.cells = kPairsOfNodes * kCellsApart;
-  seen.width = 2;
-  seen.terms = {1, 20, 19, 18, 17, 0.25, 0.125, 3600 * kSecond, 60 * kSecond, true};
+  seen.ring_size = kPairsOfNodes * kCellsApart;
+  seen.replicas_per_shard = 2;
+  seen.limits = {1, 20, 19, 18, 17, 0.25, 0.125, 3600 * kSecond, 60 * kSecond, true};
   for (int pair = 0; pair < kPairsOfNodes; ++pair) {
     const std::string zone = pair == kPairsOfNodes - 1 ? "west" : "east";
-    seen.nodes["a" + std::to_string(pair)] = {pair * kCellsApart, zone, true, true};
-    seen.nodes["b" + std::to_string(pair)] = {pair * kCellsApart, zone, true, all_warm || pair != 0};
+    seen.endpoints["a" + std::to_string(pair)] = {pair * kCellsApart, zone, true, true};
+    seen.endpoints["b" + std::to_string(pair)] = {pair * kCellsApart, zone, true, all_warm || pair != 0};
   }
   seen.zones["east"] = {"north", true, 120.5, 1000};
   seen.zones["west"] = {"south", false, 10.25, 0};
   seen.voters = {"b1", "b2", "b3"};
-  maintenance::Op op;
-  op.facts = seen;
+  maintenance::JobOperation op;
+  op.fleet_status = seen;
   return job_entry(id, op, seconds);
 }
 
-maintenance::Request machine(int number) {
-  maintenance::Request request;
+maintenance::JobRequest machine(int number) {
+  maintenance::JobRequest request;
   request.machine = "m" + std::to_string(number);
-  request.nodes = {"a" + std::to_string(number)};
-  request.length = 600 * kSecond;
+  request.endpoints = {"a" + std::to_string(number)};
+  request.duration = 600 * kSecond;
   return request;
 }
 
-Entry request(const std::string& id, const maintenance::Request& wanted, int seconds) {
-  maintenance::Op op;
+Entry request(const std::string& id, const maintenance::JobRequest& wanted, int seconds) {
+  maintenance::JobOperation op;
   op.request = wanted;
   return job_entry(id, op, seconds);
 }
 
-Entry move(const std::string& id, std::uint64_t job, Step from, Step to, int seconds) {
-  maintenance::Op op;
-  op.step = maintenance::Op::Move{job, from, to};
+Entry move(const std::string& id, std::uint64_t job, JobState from, JobState to, int seconds) {
+  maintenance::JobOperation op;
+  op.transition = maintenance::JobOperation::Transition{job, from, to};
   return job_entry(id, op, seconds);
 }
 
 Entry hold(const std::string& id, std::uint64_t job, int seconds) {
-  maintenance::Op op;
+  maintenance::JobOperation op;
   op.hold = job;
   return job_entry(id, op, seconds);
 }
 
 Entry resume(const std::string& id, std::uint64_t job, int seconds) {
-  maintenance::Op op;
+  maintenance::JobOperation op;
   op.resume = job;
   return job_entry(id, op, seconds);
 }
 
 Entry cancel(const std::string& id, std::uint64_t job, int seconds) {
-  maintenance::Op op;
+  maintenance::JobOperation op;
   op.cancel = job;
   return job_entry(id, op, seconds);
 }
 
 Entry done(const std::string& id, std::uint64_t job, int seconds) {
-  maintenance::Op op;
+  maintenance::JobOperation op;
   op.done = job;
   return job_entry(id, op, seconds);
 }
@@ -174,22 +174,22 @@
 }
 
 Entries jobs_asked_for() {
-  maintenance::Request planned = machine(0);
+  maintenance::JobRequest planned = machine(0);
   planned.rack = "r1";
-  planned.earliest = kWallClock + 3600 * kSecond;
-  planned.latest = kWallClock + 86400 * kSecond;
+  planned.earliest_start = kWallClock + 3600 * kSecond;
+  planned.latest_end = kWallClock + 86400 * kSecond;
   planned.priority = 7;
   Entries all = {facts("facts-1", true, 1), request("job-1", planned, 2)};
   for (int number = 1; number <= 7; ++number) {
     all.push_back(request("job-" + std::to_string(number + 1), machine(number), 2 + number));
   }
-  maintenance::Request urgent = machine(8);
-  urgent.nodes = {"a8", "b8"};
+  maintenance::JobRequest urgent = machine(8);
+  urgent.endpoints = {"a8", "b8"};
   urgent.brokers = {"b3"};
   urgent.zone = "elsewhere";
   urgent.region = "abroad";
   urgent.priority = -3;
-  urgent.emergency = true;
+  urgent.is_emergency = true;
   all.push_back(request("job-9", urgent, 11));
   all.push_back(request("job-10", machine(9), 12));
   all.push_back(request("refused-same-machine", machine(9), 13));
@@ -200,23 +200,23 @@
 Entries jobs_moved() {
   Entries all;
   for (std::uint64_t job = 2; job <= 8; ++job) {
-    all.push_back(move("draining-" + std::to_string(job), job, Step::queued, Step::draining,
+    all.push_back(move("draining-" + std::to_string(job), job, JobState::kQueued, JobState::kDraining,
                        20 + static_cast<int>(job)));
   }
   for (std::uint64_t job : {3, 4, 5, 6, 8}) {
-    all.push_back(
-        move("empty-" + std::to_string(job), job, Step::draining, Step::empty, 30 + static_cast<int>(job)));
+    all.push_back(move("empty-" + std::to_string(job), job, JobState::kDraining, JobState::kEmpty,
+                       30 + static_cast<int>(job)));
   }
   for (std::uint64_t job : {4, 5, 6, 8}) {
-    all.push_back(
-        move("at-work-" + std::to_string(job), job, Step::empty, Step::at_work, 40 + static_cast<int>(job)));
+    all.push_back(move("at-work-" + std::to_string(job), job, JobState::kEmpty, JobState::kInMaintenance,
+                       40 + static_cast<int>(job)));
   }
-  add(all,
-      {done("done-5", 5, 50), done("done-6", 6, 51), move("in-service-6", 6, Step::returning, Step::done, 52),
-       cancel("cancel-7", 7, 53), move("refused-failover", 10, Step::queued, Step::draining, 54),
-       move("refused-step", 3, Step::empty, Step::done, 55), hold("hold-1", 1, 56),
-       move("lost-8", 8, Step::at_work, Step::lost, 57),
-       move("refused-held", 9, Step::queued, Step::draining, 58)});
+  add(all, {done("done-5", 5, 50), done("done-6", 6, 51),
+            move("in-service-6", 6, JobState::kReturning, JobState::kDone, 52), cancel("cancel-7", 7, 53),
+            move("refused-failover", 10, JobState::kQueued, JobState::kDraining, 54),
+            move("refused-step", 3, JobState::kEmpty, JobState::kDone, 55), hold("hold-1", 1, 56),
+            move("lost-8", 8, JobState::kInMaintenance, JobState::kLost, 57),
+            move("refused-held", 9, JobState::kQueued, JobState::kDraining, 58)});
   return all;
 }
 
@@ -260,8 +260,8 @@
           of_broker(Kind::strike, "b1"),
           resume("resume-all", 0, 60),
           resume("resume-1", 1, 61),
-          move("back-2", 2, Step::draining, Step::queued, 62),
-          move("draining-9", 9, Step::queued, Step::draining, 63),
+          move("back-2", 2, JobState::kDraining, JobState::kQueued, 62),
+          move("draining-9", 9, JobState::kQueued, JobState::kDraining, 63),
           done("done-8", 8, 64),
           facts("facts-2", false, 65)};
 }
--- a/tests/stored/dump.cpp
+++ b/tests/stored/dump.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-using maintenance::kMs;
+using maintenance::kMillisecond;
 using shared_config::Entry;
 
 constexpr unsigned short kCommand = 1;  // entry types of the consensus library
@@ -62,7 +62,8 @@
     return *this;
   }
   Lines& time(const char* label, Time value) {
-    out_ << "  " << label << ' ' << (value == kNever ? "never" : std::to_string(value / kMs) + " ms") << '\n';
+    out_ << "  " << label << ' ' << (value == kNever ? "never" : std::to_string(value / kMillisecond) + " ms")
+         << '\n';
     return *this;
   }
   template <class Names>
@@ -101,53 +102,61 @@
   return at < std::size(kLabels) ? kLabels[at] : "?";
 }
 
-std::string dump_request(const maintenance::Request& request) {
+std::string dump_request(const maintenance::JobRequest& request) {
   Lines out;
-  out.text("machine", request.machine).list("nodes", request.nodes).list("brokers", request.brokers);
-  out.list("cells", request.cells);
+  out.text("machine", request.machine).list("nodes", request.endpoints).list("brokers", request.brokers);
+  out.list("cells", request.ring_positions);
   out.text("rack", request.rack).text("zone", request.zone).text("region", request.region);
-  out.time("earliest", request.earliest).time("latest", request.latest).time("length", request.length);
-  out.number("priority", request.priority).number("emergency", request.emergency);
+  out.time("earliest", request.earliest_start)
+      .time("latest", request.latest_end)
+      .time("length", request.duration);
+  out.number("priority", request.priority).number("emergency", request.is_emergency);
   return out.str();
 }
 
-std::string dump_facts(const maintenance::Facts& facts) {
+std::string dump_facts(const maintenance::FleetStatus& facts) {
   Lines out;
-  out.number("revision", facts.revision).number("cells", facts.cells).number("width", facts.width);
-  const maintenance::Terms& terms = facts.terms;
+  out.number("revision", facts.revision)
+      .number("cells", facts.ring_size)
+      .number("width", facts.replicas_per_shard);
+  const maintenance::MaintenanceLimits& terms = facts.limits;
   out.list("most out at once; of a rack, zone, region; fewest replicas",
-           std::vector<int>{terms.at_once, terms.a_rack, terms.a_zone, terms.a_region, terms.holders_least});
-  out.number("share of a zone that stays", terms.zone_keep).number("headroom", terms.headroom);
-  out.time("lost after", terms.lost_after).time("planned around", terms.around);
-  out.number("stops on loss", terms.stop_on_loss);
-  for (const auto& [name, node] : facts.nodes) {
-    out.list("node", std::vector<std::string>{name, std::to_string(node.cell), quoted(node.zone),
-                                              node.ready ? "ready" : "unready", node.warm ? "warm" : "cold"});
+           std::vector<int>{terms.max_machines, terms.max_machines_per_rack, terms.max_machines_per_zone,
+                            terms.max_machines_per_region, terms.min_warm_replicas});
+  out.number("share of a zone that stays", terms.min_zone_share_in_service)
+      .number("headroom", terms.min_headroom_share);
+  out.time("lost after", terms.lost_after).time("planned around", terms.transition_time);
+  out.number("stops on loss", terms.holds_queue_on_loss);
+  for (const auto& [name, node] : facts.endpoints) {
+    out.list("node",
+             std::vector<std::string>{name, std::to_string(node.ring_position), quoted(node.zone),
+                                      node.is_ready ? "ready" : "unready", node.is_warm ? "warm" : "cold"});
   }
   for (const auto& [name, zone] : facts.zones) {
-    out.text("zone", name).text(" region", zone.region).number(" near", zone.near);
-    out.number(" load", zone.load).number(" capacity", zone.capacity);
+    out.text("zone", name).text(" region", zone.region).number(" near", zone.serves_locally);
+    out.number(" load", zone.load_per_second).number(" capacity", zone.capacity_per_second);
   }
   out.list("voters", facts.voters);
   return out.str();
 }
 
 std::string dump_operation(const std::string& text) {
-  const auto op = maintenance::decode_op(text);
+  const auto op = maintenance::decode_operation(text);
   if (!op) {
     return "  UNREADABLE\n";
   }
   Lines out;
-  out.time("at", op->at);
+  out.time("at", op->stated_at);
   if (op->request) {
     out.raw(dump_request(*op->request));
   }
-  if (op->facts) {
-    out.raw(dump_facts(*op->facts));
+  if (op->fleet_status) {
+    out.raw(dump_facts(*op->fleet_status));
   }
-  if (op->step) {
-    out.number("of job", op->step->work);
-    out.text("from", maintenance::name_of(op->step->from)).text("to", maintenance::name_of(op->step->to));
+  if (op->transition) {
+    out.number("of job", op->transition->job);
+    out.text("from", maintenance::job_state_name(op->transition->from))
+        .text("to", maintenance::job_state_name(op->transition->to));
   }
   const std::pair<const char*, std::optional<std::uint64_t>> said[] = {
       {"hold", op->hold}, {"resume", op->resume}, {"cancel", op->cancel}, {"done", op->done}};
@@ -222,19 +231,21 @@
 }
 
 std::string dump_jobs(const std::string& bytes) {
-  const auto board = maintenance::Works().restore(bytes);
-  const auto* jobs = dynamic_cast<const maintenance::Works*>(board.get());
+  const auto board = maintenance::JobQueue().restore(bytes);
+  const auto* jobs = dynamic_cast<const maintenance::JobQueue*>(board.get());
   if (!jobs) {
     return "jobs UNREADABLE\n";
   }
   Lines out;
-  out.title("jobs").number("held", jobs->held()).time("facts as of", jobs->facts_at());
-  out.raw(dump_facts(jobs->facts())).list("nodes out", jobs->out_nodes());
-  out.list("nodes withheld beforehand", jobs->withheld_beforehand());
-  for (const auto& [number, job] : jobs->all()) {
+  out.title("jobs").number("held", jobs->is_held()).time("facts as of", jobs->fleet_status_at());
+  out.raw(dump_facts(jobs->fleet_status())).list("nodes out", jobs->endpoints_out());
+  out.list("nodes withheld beforehand", jobs->baseline_exclusions());
+  for (const auto& [number, job] : jobs->jobs()) {
     out.title("job " + std::to_string(number)).number("number", job.number);
-    out.text("step", maintenance::name_of(job.step)).time("since", job.since).number("held", job.held);
-    out.text("who", job.who).text("why", job.why).text("last", job.last);
+    out.text("step", maintenance::job_state_name(job.state))
+        .time("since", job.state_since)
+        .number("held", job.is_held);
+    out.text("who", job.requested_by).text("why", job.reason).text("last", job.state_reason);
     out.raw(dump_request(job.request));
   }
   return out.str();
--- a/tests/stored/stores.cpp
+++ b/tests/stored/stores.cpp
@@ -87,7 +87,7 @@
 
 shared_config::Versions replay(const shared_config::Kept& store, Numbers* numbers) {
   const shared_config::Stored& held = store.loaded();
-  shared_config::Versions versions(std::make_shared<maintenance::Works>());
+  shared_config::Versions versions(std::make_shared<maintenance::JobQueue>());
   if (held.snapshot) {
     require(versions.restore(held.snapshot->data), "its snapshot");
   }
@@ -133,7 +133,7 @@
   terms.snapshot_after = snapshot_after == 0 ? kNoSnapshot : snapshot_after;
   terms.snapshot_keeps = kEntriesKeptBelowSnapshot;
   shared_config::Engine engine(terms, kBroker, *store, kEngineSeed, nullptr,
-                               std::make_shared<maintenance::Works>());
+                               std::make_shared<maintenance::JobQueue>());
   Time now = 0;
   EngineRun run;
   run.is_broken = !engine.start(now);
--- a/tests/upkeep.cpp
+++ b/tests/upkeep.cpp
@@ -18,45 +18,46 @@
 
 namespace {
 
-Facts fleet(int nodes, int width, int zones = 1) {
-  Facts f;
-  f.cells = nodes, f.width = width;
+FleetStatus fleet(int nodes, int width, int zones = 1) {
+  FleetStatus f;
+  f.ring_size = nodes, f.replicas_per_shard = width;
   for (int i = 0; i < nodes; ++i)
-    f.nodes["s-" + std::to_string(i)] = {i, "z" + std::to_string(i % zones), true, true};
+    f.endpoints["s-" + std::to_string(i)] = {i, "z" + std::to_string(i % zones), true, true};
   for (int z = 0; z < zones; ++z) f.zones["z" + std::to_string(z)].region = "r" + std::to_string(z % 2);
-  f.terms = {2, 3, 3, 3, 3, 0.5, 0.1, 600 * kSecond, 60 * kSecond, true};
+  f.limits = {2, 3, 3, 3, 3, 0.5, 0.1, 600 * kSecond, 60 * kSecond, true};
   f.voters = {"b0", "b1", "b2"};
   return f;
 }
 
 struct Desk {
-  shared_config::Versions book{std::make_shared<Works>()};
+  shared_config::Versions book{std::make_shared<JobQueue>()};
   Time wall = 1'000'000 * kSecond;
-  const Works& works() const { return static_cast<const Works&>(*book.board()); }
-  shared_config::Verdict say(Op op, const std::string& who = "ann") {
+  const JobQueue& works() const { return static_cast<const JobQueue&>(*book.board()); }
+  shared_config::Verdict say(JobOperation op, const std::string& who = "ann") {
     shared_config::Entry e;
     e.kind = shared_config::Entry::Kind::board, e.who = who, e.why = "story";
-    op.at = wall;
-    e.text = encode(op);
+    op.stated_at = wall;
+    e.text = encode_operation(op);
     return book.apply(e);
   }
-  void facts(const Facts& f) {
-    Op op;
-    op.facts = f;
+  void facts(const FleetStatus& f) {
+    JobOperation op;
+    op.fleet_status = f;
     say(op, "upkeep");
   }
   shared_config::Verdict ask(const std::string& machine, std::vector<std::string> nodes,
                              Time length = 1800 * kSecond, Time latest = kNever, int priority = 0) {
-    Op op;
+    JobOperation op;
     op.request.emplace();
-    op.request->machine = machine, op.request->nodes = std::move(nodes), op.request->length = length;
-    op.request->latest = latest, op.request->priority = priority;
+    op.request->machine = machine, op.request->endpoints = std::move(nodes), op.request->duration = length;
+    op.request->latest_end = latest, op.request->priority = priority;
     return say(op);
   }
-  shared_config::Verdict step(std::uint64_t work, Step to) {
-    const auto it = works().all().find(work);
-    Op op;
-    op.step = Op::Move{work, it == works().all().end() ? Step::queued : it->second.step, to};
+  shared_config::Verdict step(std::uint64_t work, JobState to) {
+    const auto it = works().jobs().find(work);
+    JobOperation op;
+    op.transition =
+        JobOperation::Transition{work, it == works().jobs().end() ? JobState::kQueued : it->second.state, to};
     return say(op, "upkeep");
   }
 };
@@ -73,44 +74,45 @@
   show("m0", d.ask("m0", {"s-0"}));
   show("m1, which shares shards with it", d.ask("m1", {"s-1"}));
   show("m6, which doesn't", d.ask("m6", {"s-6"}));
-  show("m0 drains", d.step(1, Step::draining));
-  show("m1 drains", d.step(2, Step::draining));
-  show("m6 drains", d.step(3, Step::draining));
-  show("m6 at work at once", d.step(3, Step::at_work));
-  show("m0 empty", d.step(1, Step::empty));
-  Op hold;
+  show("m0 drains", d.step(1, JobState::kDraining));
+  show("m1 drains", d.step(2, JobState::kDraining));
+  show("m6 drains", d.step(3, JobState::kDraining));
+  show("m6 at work at once", d.step(3, JobState::kInMaintenance));
+  show("m0 empty", d.step(1, JobState::kEmpty));
+  JobOperation hold;
   hold.hold = 1;
   show("held by an operator", d.say(hold));
-  show("m0 at work", d.step(1, Step::at_work));
-  Op resume;
+  show("m0 at work", d.step(1, JobState::kInMaintenance));
+  JobOperation resume;
   resume.resume = 1;
   show("resumed", d.say(resume));
-  show("m0 at work", d.step(1, Step::at_work));
-  Op cancel;
+  show("m0 at work", d.step(1, JobState::kInMaintenance));
+  JobOperation cancel;
   cancel.cancel = 1;
   show("cancelled at work", d.say(cancel));
-  Facts f = fleet(12, 3, 3);
-  f.zones["z0"].near = false;
+  FleetStatus f = fleet(12, 3, 3);
+  f.zones["z0"].serves_locally = false;
   d.facts(f);
   show("m3 of a zone in failover", d.ask("m3", {"s-3"}));
-  show("m3 drains", d.step(4, Step::draining));
+  show("m3 drains", d.step(4, JobState::kDraining));
   f = fleet(12, 3, 3);
-  f.nodes["s-8"].ready = false;
+  f.endpoints["s-8"].is_ready = false;
   d.facts(f);
   show("m9, a holder of its shards being down", d.ask("m9", {"s-9"}));
-  show("m9 drains", d.step(5, Step::draining));
-  Op done;
+  show("m9 drains", d.step(5, JobState::kDraining));
+  JobOperation done;
   done.done = 1;
   show("m0 is back", d.say(done));
-  show("in service", d.step(1, Step::done));
-  show("m1 drains", d.step(2, Step::draining));
-  const auto kept = std::static_pointer_cast<const Works>(Works().restore(d.works().snapshot()));
+  show("in service", d.step(1, JobState::kDone));
+  show("m1 drains", d.step(2, JobState::kDraining));
+  const auto kept = std::static_pointer_cast<const JobQueue>(JobQueue().restore(d.works().snapshot()));
   std::printf("kept and taken up again: %s\n",
               kept && kept->snapshot() == d.works().snapshot() ? "the same" : "NOT the same");
-  std::printf(
-      "a torn snapshot: %s\n",
-      Works().restore(d.works().snapshot().substr(0, d.works().snapshot().size() - 3)) ? "TAKEN" : "refused");
-  Op nothing;
+  std::printf("a torn snapshot: %s\n",
+              JobQueue().restore(d.works().snapshot().substr(0, d.works().snapshot().size() - 3))
+                  ? "TAKEN"
+                  : "refused");
+  JobOperation nothing;
   show("an entry that says nothing", d.say(nothing));
 }
 
@@ -122,27 +124,29 @@
   d.ask("due", {"s-1"}, 600 * kSecond, d.wall + 800 * kSecond);
   d.ask("other", {"s-6"}, 600 * kSecond);
   d.ask("more", {"s-7"}, 600 * kSecond, kNever, 5);
-  for (const Planned& p : plan(d.works(), d.wall))
-    std::printf("%s after %lld s%s\n", d.works().all().at(p.work).request.machine.c_str(),
-                static_cast<long long>((p.start - d.wall) / kSecond), p.in_time ? "" : ", too late");
+  for (const PlannedJob& p : plan_jobs(d.works(), d.wall))
+    std::printf("%s after %lld s%s\n", d.works().jobs().at(p.job).request.machine.c_str(),
+                static_cast<long long>((p.start - d.wall) / kSecond), p.is_in_time ? "" : ", too late");
   show("one that would make it late", d.ask("thief", {"s-2"}, 600 * kSecond, d.wall + 700 * kSecond));
 }
 
 // ---- The plan against a solver ----
 
 struct Case {
-  std::vector<Job> jobs;
-  Bounds bounds;
+  std::vector<JobConstraints> jobs;
+  PlacementLimits bounds;
 };
 Case drawn(std::mt19937& chance, int n) {
   Case c;
   const auto below = [&](unsigned k) { return static_cast<int>(chance() % k); };
-  c.bounds.at_once = 1 + below(3), c.bounds.a_rack = c.bounds.a_region = 100;
-  c.bounds.a_zone = 1 + below(2), c.bounds.voters = 1, c.bounds.zone_nodes = {100, 100};
+  c.bounds.max_machines = 1 + below(3),
+  c.bounds.max_machines_per_rack = c.bounds.max_machines_per_region = 100;
+  c.bounds.max_machines_per_zone = 1 + below(2), c.bounds.max_voters = 1,
+  c.bounds.max_endpoints_by_zone = {100, 100};
   for (int i = 0; i < n; ++i) {
-    Job j;
-    j.id = static_cast<std::uint64_t>(i + 1), j.length = (1 + below(3)) * kSecond, j.zone = below(2),
-    j.nodes = 1;
+    JobConstraints j;
+    j.id = static_cast<std::uint64_t>(i + 1), j.duration = (1 + below(3)) * kSecond, j.zone = below(2),
+    j.endpoint_count = 1;
     const int first = below(10);
     for (int s = 0; s < 3; ++s) j.shards.push_back((first + s) % 10);
     std::sort(j.shards.begin(), j.shards.end());
@@ -150,7 +154,7 @@
   }
   return c;
 }
-bool clash(const Job& a, const Job& b) {
+bool clash(const JobConstraints& a, const JobConstraints& b) {
   return std::any_of(a.shards.begin(), a.shards.end(),
                      [&](int s) { return std::binary_search(b.shards.begin(), b.shards.end(), s); });
 }
@@ -165,7 +169,7 @@
   const auto col = [&](int j, int t) { return j * horizon + t + 1; };
   const int end = n * horizon + 1;
   const auto length = [&](int j) {
-    return static_cast<int>(c.jobs[static_cast<std::size_t>(j)].length / kSecond);
+    return static_cast<int>(c.jobs[static_cast<std::size_t>(j)].duration / kSecond);
   };
   for (int i = 1; i < end; ++i) glp_set_col_kind(p, i, GLP_BV);
   for (int j = 0; j < n; ++j)
@@ -194,12 +198,12 @@
   for (int t = 0; t < horizon; ++t) {
     std::vector<std::pair<int, double>> all;
     for (int j = 0; j < n; ++j) covering(j, t, all);
-    row(all, GLP_UP, c.bounds.at_once);
+    row(all, GLP_UP, c.bounds.max_machines);
     for (int z = 0; z < 2; ++z) {
       std::vector<std::pair<int, double>> zone;
       for (int j = 0; j < n; ++j)
         if (c.jobs[static_cast<std::size_t>(j)].zone == z) covering(j, t, zone);
-      if (!zone.empty()) row(zone, GLP_UP, c.bounds.a_zone);
+      if (!zone.empty()) row(zone, GLP_UP, c.bounds.max_machines_per_zone);
     }
     for (int a = 0; a < n; ++a)
       for (int b = a + 1; b < n; ++b)
@@ -225,19 +229,19 @@
   int wrong = 0, unsolved = 0, shorter = 0, same = 0;
   for (int k = 0; k < cases; ++k) {
     const Case c = drawn(chance, 4 + k % 3);
-    const auto slots = schedule(c.jobs, c.bounds, 0);
+    const auto slots = schedule_jobs(c.jobs, c.bounds, 0);
     // Whatever it is worth: nothing in the way of another.
     for (std::size_t a = 0; a < c.jobs.size(); ++a) {
       int beside = 0, zone = 0;
       for (std::size_t b = 0; b < c.jobs.size(); ++b) {
         const bool over =
-            slots[b].start <= slots[a].start && slots[a].start < slots[b].start + c.jobs[b].length;
+            slots[b].start <= slots[a].start && slots[a].start < slots[b].start + c.jobs[b].duration;
         beside += over, zone += over && c.jobs[b].zone == c.jobs[a].zone;
         if (a != b && over && clash(c.jobs[a], c.jobs[b])) ++wrong;
       }
-      wrong += beside > c.bounds.at_once || zone > c.bounds.a_zone;
+      wrong += beside > c.bounds.max_machines || zone > c.bounds.max_machines_per_zone;
     }
-    const int mine = static_cast<int>(end_of(c.jobs, slots) / kSecond);
+    const int mine = static_cast<int>(schedule_end(c.jobs, slots) / kSecond);
     const int best = shortest(c, mine);  // no later than ours, so a horizon that holds it
     if (best < 0) {
       ++unsolved;
@@ -266,8 +270,9 @@
     const auto below = [&](unsigned n) { return static_cast<int>(chance() % n); };
     Desk d;
     const int nodes = 8 + below(16), width = 2 + below(2);
-    Facts f = fleet(nodes, width, 1 + below(3));
-    f.terms.at_once = 1 + below(4), f.terms.a_zone = 1 + below(3), f.terms.holders_least = 1 + below(2);
+    FleetStatus f = fleet(nodes, width, 1 + below(3));
+    f.limits.max_machines = 1 + below(4), f.limits.max_machines_per_zone = 1 + below(3),
+    f.limits.min_warm_replicas = 1 + below(2);
     d.facts(f);
     const auto complain = [&](const char* what) { return std::printf("seed %d: %s\n", seed, what), 1; };
     for (int k = 0; k < 150; ++k) {
@@ -275,7 +280,7 @@
       shared_config::Verdict v;
       std::uint64_t begun = 0;
       const std::uint64_t some =
-          1 + static_cast<std::uint64_t>(below(static_cast<unsigned>(d.works().all().size() + 1)));
+          1 + static_cast<std::uint64_t>(below(static_cast<unsigned>(d.works().jobs().size() + 1)));
       switch (below(7)) {
         case 0:
         case 1:
@@ -283,42 +288,42 @@
                     {"s-" + std::to_string(below(static_cast<unsigned>(nodes)))}, (1 + below(50)) * kSecond);
           break;
         case 2: {
-          auto& node = f.nodes["s-" + std::to_string(below(static_cast<unsigned>(nodes)))];
-          node.ready = below(4) != 0, node.warm = node.ready && below(4) != 0;
+          auto& node = f.endpoints["s-" + std::to_string(below(static_cast<unsigned>(nodes)))];
+          node.is_ready = below(4) != 0, node.is_warm = node.is_ready && below(4) != 0;
           d.facts(f);
           break;
         }
         case 3: {
-          Op op;
+          JobOperation op;
           const int what = below(4);
           (what == 0 ? op.hold : what == 1 ? op.resume : what == 2 ? op.cancel : op.done) = some;
           v = d.say(op);
           break;
         }
         default: {
-          const auto step = static_cast<Step>(below(8));
+          const auto step = static_cast<JobState>(below(8));
           v = d.step(some, step);
-          if (v.number && step == Step::draining) begun = some;
+          if (v.number && step == JobState::kDraining) begun = some;
         }
       }
       moves += v.number != 0, refused += v.number == 0;
-      const Works& w = d.works();
+      const JobQueue& w = d.works();
       int out = 0;
       std::set<int> held;
-      for (const auto& [n, work] : w.all()) {
-        if (!work.under_way() || work.step == Step::lost) continue;
+      for (const auto& [n, work] : w.jobs()) {
+        if (!work.is_in_progress() || work.state == JobState::kLost) continue;
         ++out;
-        for (const int s : w.shards(work.request))
+        for (const int s : w.shards_of(work.request))
           if (!held.insert(s).second) return complain("two works under way share a shard");
       }
-      if (out > f.terms.at_once) return complain("more machines are out than may be");
-      if (begun && !w.endangers(w.all().at(begun).request).empty())
+      if (out > f.limits.max_machines) return complain("more machines are out than may be");
+      if (begun && !w.shards_below_min_replicas(w.jobs().at(begun).request).empty())
         return complain("a work was begun that leaves a shard short");
-      if (w.out_nodes().size() > w.withheld_beforehand().size())
+      if (w.endpoints_out().size() > w.baseline_exclusions().size())
         return complain("the ground lets through what is out");
-      for (const Planned& p : plan(w, d.wall))
+      for (const PlannedJob& p : plan_jobs(w, d.wall))
         if (p.start < d.wall) return complain("something is planned for the past");
-      const auto again = std::static_pointer_cast<const Works>(Works().restore(w.snapshot()));
+      const auto again = std::static_pointer_cast<const JobQueue>(JobQueue().restore(w.snapshot()));
       if (!again || again->snapshot() != w.snapshot()) return complain("a snapshot does not hold it all");
     }
   }
@@ -333,31 +338,35 @@
 void sizes() {
   for (const int n : {10, 50, 200, 1000}) {
     Desk d;
-    Facts f = fleet(n, 3, 6);
-    f.terms.at_once = std::max(1, n / 20), f.terms.a_zone = f.terms.at_once,
-    f.terms.a_region = f.terms.at_once;
-    f.terms.around = 0;
+    FleetStatus f = fleet(n, 3, 6);
+    f.limits.max_machines = std::max(1, n / 20), f.limits.max_machines_per_zone = f.limits.max_machines,
+    f.limits.max_machines_per_region = f.limits.max_machines;
+    f.limits.transition_time = 0;
     d.facts(f);
     std::mt19937 chance(1);
-    std::vector<Job> jobs;
-    Bounds b{f.terms.at_once, 1000, f.terms.a_zone, f.terms.a_region, 1, std::vector<int>(6, n)};
+    std::vector<JobConstraints> jobs;
+    PlacementLimits b{
+        f.limits.max_machines, 1000, f.limits.max_machines_per_zone, f.limits.max_machines_per_region, 1,
+        std::vector<int>(6, n)};
     Time one_by_one = 0;
     for (int i = 0; i < n; ++i) {
-      Job j;
-      j.id = static_cast<std::uint64_t>(i + 1), j.length = static_cast<Time>(600 + chance() % 1200) * kSecond;
+      JobConstraints j;
+      j.id = static_cast<std::uint64_t>(i + 1),
+      j.duration = static_cast<Time>(600 + chance() % 1200) * kSecond;
       for (int s = 0; s < 3; ++s) j.shards.push_back((i - s + n) % n);
       std::sort(j.shards.begin(), j.shards.end());
-      j.zone = i % 6, j.nodes = 1;
-      one_by_one += j.length;
+      j.zone = i % 6, j.endpoint_count = 1;
+      one_by_one += j.duration;
       jobs.push_back(std::move(j));
     }
     const auto began = std::chrono::steady_clock::now();
-    const auto slots = schedule(jobs, b, 0);
+    const auto slots = schedule_jobs(jobs, b, 0);
     const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
     std::printf(
         "%d machines, %d at once: planned in %.1f ms, over after %.2f of one by one; the bound is %.2f\n", n,
-        b.at_once, 1000 * took, static_cast<double>(end_of(jobs, slots)) / static_cast<double>(one_by_one),
-        1.0 / b.at_once);
+        b.max_machines, 1000 * took,
+        static_cast<double>(schedule_end(jobs, slots)) / static_cast<double>(one_by_one),
+        1.0 / b.max_machines);
   }
 }
 
--- a/tests/works.cpp
+++ b/tests/works.cpp
@@ -35,16 +35,16 @@
   t.stated = 4, t.drift = 0;  // a span of 2 steps
   return t;
 }
-maintenance::ConductTerms conduct_terms() {
-  maintenance::ConductTerms t;
-  t.longest_send = broken == 2 ? 0 : kLongest, t.drift = 0, t.facts_every = 0;
+maintenance::MaintenanceControllerOptions conduct_terms() {
+  maintenance::MaintenanceControllerOptions t;
+  t.max_attempt_time = broken == 2 ? 0 : kLongest, t.max_clock_drift = 0, t.status_interval = 0;
   return t;
 }
-maintenance::Facts facts() {
-  maintenance::Facts f;
-  f.cells = 2, f.width = 2, f.terms.holders_least = 1;
-  f.terms.zone_keep = 0, f.terms.around = 0;
-  f.nodes["n"] = {0, "", true, true}, f.nodes["m"] = {1, "", true, true};
+maintenance::FleetStatus facts() {
+  maintenance::FleetStatus f;
+  f.ring_size = 2, f.replicas_per_shard = 2, f.limits.min_warm_replicas = 1;
+  f.limits.min_zone_share_in_service = 0, f.limits.transition_time = 0;
+  f.endpoints["n"] = {0, "", true, true}, f.endpoints["m"] = {1, "", true, true};
   return f;
 }
 
@@ -70,17 +70,17 @@
   int asked[kBrokersMost] = {0, 0}, sent[kBrokersMost] = {0, 0};
   Time out_since[kBrokersMost] = {0, 0};  // a part at the node; 0: none
   Leases leader{lease_terms()};
-  maintenance::Conduct conduct{conduct_terms(), "v1"};
+  maintenance::MaintenanceController conduct{conduct_terms(), "v1"};
   int leaders_gone = 0;
   std::uint64_t force = 0, force_ground = 0;  // decided by the leader, not yet committed
   std::optional<Entry> said;                  // by the conduct, not yet committed
   std::vector<std::pair<int, Ask>> asks;
   std::vector<std::pair<int, Grant>> grants;
-  std::vector<std::pair<int, maintenance::Clear>> clears;
+  std::vector<std::pair<int, maintenance::OpenAttemptsReport>> clears;
 
   const Versions& versions() const { return books[static_cast<std::size_t>(book)]; }
-  const maintenance::Work& work() const {
-    return static_cast<const maintenance::Works&>(*versions().board()).all().begin()->second;
+  const maintenance::Job& work() const {
+    return static_cast<const maintenance::JobQueue&>(*versions().board()).jobs().begin()->second;
   }
   std::size_t under_way() const { return asks.size() + grants.size() + clears.size(); }
   bool allowed(std::size_t i) const {  // to send to the node, as the broker looks at its clock
@@ -97,7 +97,7 @@
       holders[i].describe(now, k);
     }
     leader.describe(now, k);
-    conduct.describe(now, k);
+    conduct.append_state(now, k);
     if (said) k += encode(*said);
     for (const auto& [i, a] : asks)
       k += 'a' + std::to_string(i) + ' ' + std::to_string(a.sequence) + ' ' + std::to_string(a.taken) + ' ' +
@@ -108,11 +108,12 @@
            std::to_string(g.ground_next ? g.ground_next->number : 0) + ' ' +
            std::to_string(g.versions.size());
     for (const auto& [i, c] : clears)
-      k += 'c' + std::to_string(i) + ' ' + std::to_string(c.low) + ' ' + std::to_string(c.out.at("n"));
+      k += 'c' + std::to_string(i) + ' ' + std::to_string(c.lease_low_version) + ' ' +
+           std::to_string(c.by_endpoint.at("n"));
     return k;
   }
   bool good() const {
-    if (work().step != maintenance::Step::at_work) return true;
+    if (work().state != maintenance::JobState::kInMaintenance) return true;
     for (std::size_t i = 0; i < brokers; ++i)
       if (out_since[i] || allowed(i)) return false;
     return true;
@@ -150,8 +151,8 @@
     const auto& acting = *s.holders[i].acting(s.now);
     if (acting.low && acting.rules->at_work.count("n") && s.under_way() < kOnTheirWay) {
       State& n = next();
-      maintenance::Clear c;
-      c.low = acting.low, c.out["n"] = broken == 1 ? 0 : n.out_since[i] != 0;
+      maintenance::OpenAttemptsReport c;
+      c.lease_low_version = acting.low, c.by_endpoint["n"] = broken == 1 ? 0 : n.out_since[i] != 0;
       n.clears.emplace_back(static_cast<int>(i), c);
     }
   }
@@ -178,7 +179,7 @@
     State& n = next();
     const auto [i, clear] = n.clears[m];
     without(n.clears, m);
-    n.conduct.heard(n.now, kNames[i], clear);
+    n.conduct.record_report(n.now, kNames[i], clear);
   }
   const auto decided = [&](Entry::Kind kind, std::uint64_t number) {
     Entry e;
@@ -199,19 +200,19 @@
   }
   if (!s.said) {
     State& n = next();
-    maintenance::Seen seen;
-    seen.facts = facts(), seen.held = n.leader.held();
-    n.said = n.conduct.lead(n.now, 0, n.versions(), seen);
+    maintenance::LeaderView seen;
+    seen.fleet_status = facts(), seen.leases = n.leader.held();
+    n.said = n.conduct.next_entry(n.now, 0, n.versions(), seen);
     if (!n.said && n.key() == s.key()) all.pop_back();
   } else {
     State& n = next();
     n.book = book_after(n.book, *n.said), n.said.reset();
-    n.conduct.settled(true);
+    n.conduct.record_proposal_result(true);
   }
   if (s.leaders_gone < leaders) {  // another leads, and knows the log alone
     State& n = next();
     ++n.leaders_gone, n.said.reset(), n.force = n.force_ground = 0;
-    n.conduct = maintenance::Conduct(conduct_terms(), "v1");
+    n.conduct = maintenance::MaintenanceController(conduct_terms(), "v1");
     n.leader = Leases(lease_terms());
     n.leader.leads(n.now, 1, kVoters, "v1");
   }
@@ -228,7 +229,7 @@
     askings = std::atoi(argv[2]), sends = std::atoi(argv[3]), leaders = std::atoi(argv[4]);
     end_at = std::atoll(argv[5]);
   }
-  books.emplace_back(std::make_shared<maintenance::Works>());
+  books.emplace_back(std::make_shared<maintenance::JobQueue>());
   State first;
   const auto begun = [&](Entry e) { first.book = book_after(first.book, std::move(e)); };
   for (std::size_t i = 0; i < brokers; ++i) {
@@ -238,19 +239,19 @@
   }
   Entry e;
   e.kind = Entry::Kind::board;
-  maintenance::Op op;
-  op.facts = facts();
-  e.text = maintenance::encode(op);
+  maintenance::JobOperation op;
+  op.fleet_status = facts();
+  e.text = maintenance::encode_operation(op);
   begun(e);
-  op.facts.reset();
+  op.fleet_status.reset();
   op.request.emplace();
-  op.request->machine = "machine", op.request->nodes = {"n"}, op.request->length = kSecond;
-  e.text = maintenance::encode(op);
+  op.request->machine = "machine", op.request->endpoints = {"n"}, op.request->duration = kSecond;
+  e.text = maintenance::encode_operation(op);
   begun(e);
   first.leader.leads(first.now - lease_terms().span(), 1, kVoters, "v1");
   bool handed = false, by_word = false, by_time = false;
   const Explored all = explore(first, true, after, [&](const State& s) {
-    if (s.work().step != maintenance::Step::at_work) return;
+    if (s.work().state != maintenance::JobState::kInMaintenance) return;
     handed = true;
     for (std::size_t i = 0; i < brokers; ++i) (s.holders[i].until() > s.now ? by_word : by_time) = true;
   });
