--- a/bench/upkeep.cpp
+++ b/bench/upkeep.cpp
@@ -1,61 +1,92 @@
-// Machines taken out at size, from seeds: the plan beside one after the other and as many at once by
-// discovery alone.
+// Benchmark of planned maintenance in a simulated fleet, against one machine after the other and several at
+// once without coordination.
 //
-//   build-bench/bench/bench_upkeep [SEEDS [FROM [WITHOUT]]]
+//   build-bench/bench/bench_upkeep [SEEDS [FROM [REMOVED_DEFENCE]]]
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
 
-#include "cluster/work_world.h"
+#include "cluster/maintenance_simulation.h"
 
 using namespace cairnhub;
 using namespace cairnhub::cluster;
 
 namespace {
-constexpr int kOneByOneMost = 50;
-}
+// With more seeds the one-by-one method is left out, as it takes six times as long as the others.
+constexpr int kMaxSeedsOneByOne = 50;
+}  // namespace
 
 int main(int argc, char** argv) {
-  const int seeds = argc > 1 ? std::atoi(argv[1]) : 20, from = argc > 2 ? std::atoi(argv[2]) : 1;
-  const int without = argc > 3 ? std::atoi(argv[3]) : 0;
-  const WorkWorldSize size;
+  const int seeds = argc > 1 ? std::atoi(argv[1]) : 20;
+  const int first_seed = argc > 2 ? std::atoi(argv[2]) : 1;
+  const int removed_defence = argc > 3 ? std::atoi(argv[3]) : 0;
+  const SimulationSize size;
   struct Row {
     const char* name;
-    Way way;
-    double served = 0, worst = 2, whole = 0, times = 0, longest = 0;
-    int worst_seed = 0, reached = 0, below = 0, cold = 0, fewest = 1 << 30, done = 0, lost = 0, open = 0,
-        back = 0, held_up = 0;
+    Method method;
+    double served_share = 0;
+    double worst_served_share = 2;
+    double total_seconds = 0;
+    double relative_time = 0;  // to the jobs' sum, divided by the machines out at once
+    double worst_relative_time = 0;
+    int worst_seed = 0;
+    int reached = 0;
+    int below_minimum = 0;
+    int done_while_cold = 0;
+    int fewest_replicas = 1 << 30;
+    int done = 0;
+    int lost = 0;
+    int open = 0;
+    int called_back = 0;
+    int blocked_by_lost = 0;
   };
-  std::vector<Row> rows{{"planned", Way::planned}, {"one by one", Way::one_by_one}, {"blind", Way::blind}};
-  if (without) rows.resize(1);
-  if (seeds > kOneByOneMost) rows.erase(rows.begin() + 1);  // six times as long as the others
-  for (int seed = from; seed < from + seeds; ++seed)
-    for (Row& r : rows) {
-      WorkWorld world(static_cast<std::uint64_t>(seed), size, r.way, without);
-      const WorkRun run = world.play();
-      const double served = static_cast<double>(run.served) / static_cast<double>(run.asked);
-      if (served < r.worst) r.worst = served, r.worst_seed = seed;
-      r.served += served / seeds, r.whole += run.whole / seeds;
-      const double shared = run.sum / (r.way == Way::one_by_one ? 1 : size.at_once);
-      r.times += run.whole / shared / seeds, r.longest = std::max(r.longest, run.whole / shared);
-      r.reached += run.reached, r.below += run.below, r.cold += run.cold,
-          r.fewest = std::min(r.fewest, run.fewest);
-      r.done += run.done, r.lost += run.lost, r.open += run.open, r.back += run.called_back,
-          r.held_up += run.held_up;
-      if (r.way == Way::planned && !without && (run.reached || run.below || run.cold || run.open))
-        std::printf("seed %d: reached %d, below %d, still open %d: %s\n", seed, run.reached, run.below,
-                    run.open, world.open_works().c_str());
+  std::vector<Row> rows{
+      {"planned", Method::kPlanned}, {"one by one", Method::kOneByOne}, {"blind", Method::kUncoordinated}};
+  if (removed_defence) rows.resize(1);
+  if (seeds > kMaxSeedsOneByOne) rows.erase(rows.begin() + 1);
+  for (int seed = first_seed; seed < first_seed + seeds; ++seed) {
+    for (Row& row : rows) {
+      MaintenanceSimulation simulation(static_cast<std::uint64_t>(seed), size, row.method, removed_defence);
+      const SimulationResult result = simulation.run();
+      const double served_share = static_cast<double>(result.served) / static_cast<double>(result.sent);
+      if (served_share < row.worst_served_share) {
+        row.worst_served_share = served_share;
+        row.worst_seed = seed;
+      }
+      row.served_share += served_share / seeds;
+      row.total_seconds += result.total_seconds / seeds;
+      const double shared_seconds =
+          result.job_seconds_sum / (row.method == Method::kOneByOne ? 1 : size.max_machines);
+      row.relative_time += result.total_seconds / shared_seconds / seeds;
+      row.worst_relative_time = std::max(row.worst_relative_time, result.total_seconds / shared_seconds);
+      row.reached += result.reached;
+      row.below_minimum += result.below_minimum;
+      row.done_while_cold += result.done_while_cold;
+      row.fewest_replicas = std::min(row.fewest_replicas, result.fewest_replicas);
+      row.done += result.done;
+      row.lost += result.lost;
+      row.open += result.open;
+      row.called_back += result.called_back;
+      row.blocked_by_lost += result.blocked_by_lost;
+      if (row.method == Method::kPlanned && !removed_defence &&
+          (result.reached || result.below_minimum || result.done_while_cold || result.open)) {
+        std::printf("seed %d: reached %d, below %d, still open %d: %s\n", seed, result.reached,
+                    result.below_minimum, result.open, simulation.open_jobs().c_str());
+      }
     }
+  }
   std::printf("%d seeds from %d, %d brokers, %d hosts, %d works, %d at once, %d holders at least\n", seeds,
-              from, size.brokers, size.hosts, size.works, size.at_once, size.least);
-  for (const Row& r : rows)
+              first_seed, size.brokers, size.hosts, size.jobs, size.max_machines, size.min_replicas);
+  for (const Row& row : rows) {
     std::printf(
         "%-10s served %.4f, worst %.4f (seed %d); parts at a machine at work %d; shards below %d, fewest "
         "holders %d; "
         "over while cold %d, back %d, lost %d, held up by those %d, open %d, called back %d; %.1f s, %.2f "
         "times the works shared "
         "out (worst %.2f)\n",
-        r.name, r.served, r.worst, r.worst_seed, r.reached, r.below, r.fewest, r.cold, r.done, r.lost,
-        r.held_up, r.open, r.back, r.whole, r.times, r.longest);
+        row.name, row.served_share, row.worst_served_share, row.worst_seed, row.reached, row.below_minimum,
+        row.fewest_replicas, row.done_while_cold, row.done, row.lost, row.blocked_by_lost, row.open,
+        row.called_back, row.total_seconds, row.relative_time, row.worst_relative_time);
+  }
   return 0;
 }
--- a/src/maintenance/job_codec.h
+++ b/src/maintenance/job_codec.h
@@ -1,5 +1,6 @@
-// What brokers tell each other of works, as bytes.
+// Codec of the maintenance messages between brokers.
 #pragma once
+#include <cstdint>
 #include <optional>
 #include <string>
 #include <string_view>
@@ -10,9 +11,11 @@
 
 struct MaintenanceMessage {
   std::optional<OpenAttemptsReport> open_attempts;
-  std::uint64_t stop_for_job = 0;  // not 0: the receiver's machine is taken out
+  // Number of the job that takes the receiver's machine out, so that the receiver must stop. 0: none.
+  std::uint64_t stop_for_job = 0;
 };
 std::string encode_message(const MaintenanceMessage& message);
+// @return none if the bytes are malformed or exceed a limit
 std::optional<MaintenanceMessage> decode_message(std::string_view bytes);
 
 }  // namespace cairnhub::maintenance
--- a/src/maintenance/job_queue.h
+++ b/src/maintenance/job_queue.h
@@ -1,13 +1,19 @@
-// The book of works on machines: what the log's entries lead to, the same at every voter. Nothing here knows
-// of peers or leases, or reads a clock; times are those that entries state (wall clock, ns since 1970).
+// The replicated queue of maintenance jobs: a state machine that every voter drives with the entries of the
+// shared log.
 //
-//   queued -> draining -> empty -> at_work -> returning -> done
+// Decides: whether an entry is accepted, and which state a job is in.
 //
-// A work is begun where the facts allow it, as the log then has them: each shard keeps a stated number of
-// warm holders, no two works share a shard, no more than so many machines are out together, by rack, zone and
-// region too, a zone keeps a stated share of its nodes and bears its load, no zone in failover gives any, and
-// the voters out leave a majority. So two operators who ask at the same instant, or two leaders of whom one
-// does not know yet, can't both begin what does not go together: whichever entry comes second is refused.
+//   queued -> draining -> empty -> in maintenance -> returning -> done
+//
+// Inputs: log entries alone. Times are those that the entries state (wall clock, nanoseconds since 1970). The
+// queue reads no clock and knows no peers or leases, so the same entries lead to the same queue everywhere.
+//
+// Why: whether a job may start is checked here and not where it is proposed. Two operators, or two leaders of
+// which one is outdated, may propose conflicting jobs at the same instant; the log orders them and the second
+// is refused. A job starts only if, by the fleet status in the log, each shard keeps a minimum of warm
+// replicas, no two jobs in progress share a shard, the number of machines out stays within the limits (in
+// all, per rack, zone and region), each zone keeps enough endpoints for its minimum share and its load, the
+// zone is not in failover, and a majority of voters stays.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -25,41 +31,56 @@
 
 constexpr Time kMillisecond = kSecond / 1000;
 
+// Limits that operators set in the options.
 struct MaintenanceLimits {
-  int min_warm_replicas = 1;  // warm ones that a shard keeps
-  int max_machines = 1, max_machines_per_rack = 1, max_machines_per_zone = 1,
-      max_machines_per_region = 1;         // machines
-  double min_zone_share_in_service = 0.5;  // of a zone's nodes, in service
-  double min_headroom_share = 0.1;         // of what they bear, free
-  Time lost_after = 3600 * kSecond;        // past its stated length
-  Time transition_time = 60 * kSecond;     // that draining and getting warm are taken to last, for the plan
-  bool holds_queue_on_loss = true;         // a machine lost holds the queue until an operator says resume
+  int min_warm_replicas = 1;  // of each shard
+  // Machines out at the same time.
+  int max_machines = 1;
+  int max_machines_per_rack = 1;
+  int max_machines_per_zone = 1;
+  int max_machines_per_region = 1;
+  double min_zone_share_in_service = 0.5;  // of a zone's endpoints
+  double min_headroom_share = 0.1;         // of a zone's capacity, free
+  Time lost_after = 3600 * kSecond;        // a machine is lost when it is late by this much
+  Time transition_time = 60 * kSecond;     // planned for draining and warming up together
+  bool holds_queue_on_loss = true;         // a lost machine holds the queue until an operator resumes it
   bool operator==(const MaintenanceLimits&) const = default;
 };
 
+// A request to take one machine out.
 struct JobRequest {
   std::string machine;
-  std::vector<std::string> endpoints, brokers;
-  std::vector<int> ring_positions;  // of its nodes, as they were when it was taken: the list may drop them
-  std::string rack, zone, region;   // empty: as its first node's, or none
-  Time earliest_start = 0, latest_end = kNever, duration = 0;
-  int priority = 0;
+  std::vector<std::string> endpoints;
+  std::vector<std::string> brokers;
+  // Of the endpoints, recorded when the request is accepted: endpoints may leave the endpoint list later.
+  std::vector<int> ring_positions;
+  std::string rack;
+  std::string zone;    // empty: the zone of the first endpoint
+  std::string region;  // empty: the region of the zone
+  Time earliest_start = 0;
+  Time latest_end = kNever;  // back in service by then
+  Time duration = 0;         // of the maintenance itself
+  int priority = 0;          // higher goes first
   bool is_emergency = false;
 };
 
+// Numbered as in the log and in snapshots.
 enum class JobState { kQueued, kDraining, kEmpty, kInMaintenance, kReturning, kDone, kCancelled, kLost };
+// The name that operators, event logs and tests see.
 const char* job_state_name(JobState state);
 
 struct Job {
   std::uint64_t number = 0;
   JobRequest request;
-  std::string requested_by, reason;
+  std::string requested_by;
+  std::string reason;
   JobState state = JobState::kQueued;
   Time state_since = 0;
   bool is_held = false;
-  std::string state_reason;  // why it is where it is
+  std::string state_reason;
+
   bool is_open() const { return state != JobState::kDone && state != JobState::kCancelled; }
-  // Its nodes are to be sent nothing.
+  // Whether its endpoints must receive no requests.
   bool takes_endpoints_out() const {
     return state == JobState::kDraining || state == JobState::kEmpty || state == JobState::kInMaintenance ||
            state == JobState::kLost;
@@ -70,21 +91,26 @@
 struct EndpointStatus {
   int ring_position = 0;
   std::string zone;
-  bool is_ready = false, is_warm = false;
+  bool is_ready = false;
+  bool is_warm = false;
   bool operator==(const EndpointStatus&) const = default;
 };
 
 struct ZoneStatus {
   std::string region;
-  bool serves_locally = true;                           // not in failover
-  double load_per_second = 0, capacity_per_second = 0;  // parts a second; 0: not known
+  bool serves_locally = true;  // false while the zone is in failover
+  // Shard requests per second; 0: unknown.
+  double load_per_second = 0;
+  double capacity_per_second = 0;
   bool operator==(const ZoneStatus&) const = default;
 };
 
-// What the leader sees, said to all: from here on every voter judges by it.
+// The fleet as the leader sees it. It goes through the log, so that all voters decide by the same status.
 struct FleetStatus {
   std::uint64_t revision = 0;
-  int ring_size = 0, replicas_per_shard = 0;  // shard s is held by the nodes in cells s to s + width - 1
+  // Shard s is on the endpoints at ring positions s to s + replicas_per_shard - 1.
+  int ring_size = 0;
+  int replicas_per_shard = 0;
   MaintenanceLimits limits;
   std::map<std::string, EndpointStatus> endpoints;
   std::map<std::string, ZoneStatus> zones;
@@ -92,67 +118,82 @@
   bool operator==(const FleetStatus&) const = default;
 };
 
+// One operation in the log: one of the optional members is set.
 struct JobOperation {
   Time stated_at = 0;
   std::optional<JobRequest> request;
   std::optional<FleetStatus> fleet_status;
   struct Transition {
     std::uint64_t job;
-    JobState from, to;
+    JobState from;
+    JobState to;
   };
   std::optional<Transition> transition;
-  std::optional<std::uint64_t> hold, resume, cancel, done;
+  // By operators: a job's number; 0 holds or resumes the whole queue.
+  std::optional<std::uint64_t> hold;
+  std::optional<std::uint64_t> resume;
+  std::optional<std::uint64_t> cancel;
+  std::optional<std::uint64_t> done;  // the machine is back
 };
-std::string encode_operation(const JobOperation& op);  // text
+std::string encode_operation(const JobOperation& operation);  // protobuf text, so that the log can be read
 std::optional<JobOperation> decode_operation(const std::string& text);
 
 class JobQueue : public shared_config::Board {
  public:
+  // Applies an operation to a copy of the queue. @return the job's number (1 where no job is concerned), or 0
+  // and the reason for the refusal
   shared_config::Verdict apply(const shared_config::Entry& entry,
                                std::shared_ptr<const shared_config::Board>& next) const override;
   std::string snapshot() const override;
   std::shared_ptr<const shared_config::Board> restore(std::string_view bytes) const override;
 
-  const std::map<std::uint64_t, Job>& jobs() const { return works_; }
-  const FleetStatus& fleet_status() const { return facts_; }
-  Time fleet_status_at() const { return facts_at_; }
-  bool is_held() const { return held_; }
-  std::set<std::string> endpoints_out() const;  // of works that take theirs out
+  const std::map<std::uint64_t, Job>& jobs() const { return jobs_; }
+  const FleetStatus& fleet_status() const { return fleet_status_; }
+  Time fleet_status_at() const { return fleet_status_at_; }
+  bool is_held() const { return is_held_; }
 
-  // What brokers without a lease are to be told beforehand to do without: these, and nodes of the next works
-  // in turn, as long as every shard keeps a holder that such a broker may ask.
+  // Endpoints of all jobs that take theirs out.
+  std::set<std::string> endpoints_out() const;
+  // Endpoints that the baseline rules, which brokers without a lease act on, should exclude: those that are
+  // out, and those of the next queued jobs, as long as each shard keeps a replica that such a broker may ask.
   std::set<std::string> baseline_exclusions() const;
 
-  // Why this may not be out beside the works under way, in words; empty: it may. `itself` is left out of
-  // them.
-  std::string blocking_reason(const JobRequest& request, std::uint64_t itself) const;
-  // Why it could not be out though nothing else were and every node were well; empty: it could.
+  // Why the machine may not be out beside the other jobs in progress. Empty: it may.
+  // @param own_number  this job, which doesn't count as another
+  std::string blocking_reason(const JobRequest& request, std::uint64_t own_number) const;
+  // Why the machine may not be out even if all others are in service and healthy. Empty: it may.
   std::string permanent_blocking_reason(const JobRequest& request) const;
-  // Shards that keep fewer than the stated number of warm holders while this is out.
+  // Shards that have fewer than the minimum of warm replicas while the machine is out.
   std::vector<int> shards_below_min_replicas(const JobRequest& request) const;
-  std::vector<int> shards_of(const JobRequest& request) const;  // that its nodes hold, sorted
+
+  // Shards on the request's endpoints, sorted.
+  std::vector<int> shards_of(const JobRequest& request) const;
   std::string zone_of(const JobRequest& request) const;
   std::string region_of(const JobRequest& request) const;
   int voter_count(const JobRequest& request) const;
-  // How many nodes of a zone may be out together, as its stated share and its load allow; those that are out
-  // for other reasons taken off.
+  // How many endpoints of a zone may be out for maintenance at once, by its minimum share in service and its
+  // load, less those that are down for other reasons.
   int max_zone_endpoints_out(const std::string& zone) const;
 
-  static constexpr std::size_t kMaxOpenJobs = 2000, kMaxEndedJobs = 256, kMaxEndpoints = 4096;
+  static constexpr std::size_t kMaxOpenJobs = 2000;
+  static constexpr std::size_t kMaxEndedJobs = 256;  // older ones are dropped
+  static constexpr std::size_t kMaxEndpoints = 4096;
 
  private:
-  shared_config::Verdict request(const shared_config::Entry& e, const JobOperation& op);
-  shared_config::Verdict step(const shared_config::Entry& e, const JobOperation& op);
-  shared_config::Verdict operators(const shared_config::Entry& e, const JobOperation& op);
-  void to(Job& work, JobState step, Time at, const std::string& why);
-  void forget_old();
-  bool holds(const EndpointStatus& node, int shard) const;
-  int warm_holders(int shard, const std::set<std::string>& out) const;
-  std::map<std::uint64_t, Job> works_;
-  std::uint64_t last_ = 0;
-  bool held_ = false;
-  FleetStatus facts_;
-  Time facts_at_ = 0;
+  shared_config::Verdict apply_request(const shared_config::Entry& entry, const JobOperation& operation);
+  shared_config::Verdict apply_transition(const shared_config::Entry& entry, const JobOperation& operation);
+  shared_config::Verdict apply_operator_action(const shared_config::Entry& entry,
+                                               const JobOperation& operation);
+  void set_state(Job& job, JobState state, Time at, const std::string& reason);
+  void drop_old_jobs();
+  bool holds(const EndpointStatus& endpoint, int shard) const;
+  int warm_replicas(int shard, const std::set<std::string>& out) const;
+
+  std::map<std::uint64_t, Job> jobs_;
+  std::uint64_t last_number_ = 0;
+  bool is_held_ = false;
+  FleetStatus fleet_status_;
+  Time fleet_status_at_ = 0;
 };
 
 }  // namespace cairnhub::maintenance
--- a/src/maintenance/job_scheduler.cpp
+++ b/src/maintenance/job_scheduler.cpp
@@ -12,230 +12,287 @@
 
 namespace {
 
-constexpr std::size_t kExchanges = 2000;  // divided by the number of works: at 200 of them, ten
-constexpr std::size_t kExchangesMost = 120;
-// Past so many waiting works two orders are tried and no exchanges: the leader plans beside its other work.
-constexpr std::size_t kMany = 100;
-// So many of those that wait are planned, the most urgent; the others come after them.
-constexpr std::size_t kPlannedMost = 200;
+// Random exchanges tried, divided by the number of queued jobs: ten for 200 jobs.
+constexpr std::size_t kExchangeBudget = 2000;
+constexpr std::size_t kMaxExchanges = 120;
+// With more queued jobs than this only two orders are tried and no exchanges, as the leader plans beside its
+// other tasks.
+constexpr std::size_t kMaxJobsForFullSearch = 100;
+// The most urgent queued jobs that are planned. The others come after them.
+constexpr std::size_t kMaxPlannedJobs = 200;
 
-class Schedule {
+class ScheduleBuilder {
  public:
-  Schedule(const std::vector<JobConstraints>& jobs, const PlacementLimits& bounds, Time now)
-      : jobs_(jobs), bounds_(bounds), now_(now), clash_(jobs.size(), std::vector<bool>(jobs.size(), false)) {
-    std::map<int, std::vector<std::size_t>> holders;
-    for (std::size_t i = 0; i < jobs.size(); ++i)
-      for (const int s : jobs[i].shards) holders[s].push_back(i);
-    for (const auto& [s, all] : holders)
-      for (const std::size_t a : all)
-        for (const std::size_t b : all) clash_[a][b] = a != b;
+  ScheduleBuilder(const std::vector<JobConstraints>& jobs, const PlacementLimits& limits, Time now)
+      : jobs_(jobs),
+        limits_(limits),
+        now_(now),
+        conflicts_(jobs.size(), std::vector<bool>(jobs.size(), false)) {
+    std::map<int, std::vector<std::size_t>> jobs_by_shard;
+    for (std::size_t i = 0; i < jobs.size(); ++i) {
+      for (const int shard : jobs[i].shards) jobs_by_shard[shard].push_back(i);
+    }
+    for (const auto& [shard, sharing] : jobs_by_shard) {
+      for (const std::size_t a : sharing) {
+        for (const std::size_t b : sharing) conflicts_[a][b] = a != b;
+      }
+    }
   }
-  int clashes(std::size_t i) const {
-    return static_cast<int>(std::count(clash_[i].begin(), clash_[i].end(), true));
+  int conflict_count(std::size_t i) const {
+    return static_cast<int>(std::count(conflicts_[i].begin(), conflicts_[i].end(), true));
   }
 
-  struct Made {
+  struct Schedule {
     std::vector<JobSlot> slots;
-    std::tuple<long, Time, Time> worth;  // missed, weighted; end; sum of starts: less is better
+    // Missed deadlines, weighted by priority; end of the last job; sum of the start times. Less is better.
+    std::tuple<long, Time, Time> cost;
   };
-  Made make(const std::vector<std::size_t>& order) const {
-    Made m;
-    m.slots.resize(jobs_.size());
-    std::vector<Placed> placed;
-    for (std::size_t i = 0; i < jobs_.size(); ++i)
+  // Places the jobs that aren't in progress in this order.
+  Schedule build(const std::vector<std::size_t>& order) const {
+    Schedule schedule;
+    schedule.slots.resize(jobs_.size());
+    std::vector<Placement> placed;
+    for (std::size_t i = 0; i < jobs_.size(); ++i) {
       if (jobs_[i].started_at) {
-        m.slots[i].start = *jobs_[i].started_at;
-        // One that takes longer than thought is over any moment, for all that can be planned.
-        put(placed, {i, *jobs_[i].started_at, std::max(*jobs_[i].started_at + jobs_[i].duration, now_ + 1)});
+        schedule.slots[i].start = *jobs_[i].started_at;
+        // A job that is past its planned duration is taken to end at the next moment.
+        insert(placed,
+               {i, *jobs_[i].started_at, std::max(*jobs_[i].started_at + jobs_[i].duration, now_ + 1)});
       }
+    }
     long missed = 0;
-    Time end = 0, sum = 0;
+    Time end = 0;
+    Time start_sum = 0;
     for (const std::size_t i : order) {
-      const JobConstraints& j = jobs_[i];
-      const Time at = earliest(i, placed);
-      JobSlot& s = m.slots[i];
-      s.start = at, s.is_in_time = j.latest_end == kNever || at + j.duration <= j.latest_end;
-      if (!s.is_in_time) missed += 1 + std::max(0, j.priority);
-      put(placed, {i, at, at + j.duration});
-      end = std::max(end, at + j.duration), sum += (at - now_) / kSecond;
+      const JobConstraints& job = jobs_[i];
+      const Time start = earliest_feasible_start(i, placed);
+      JobSlot& slot = schedule.slots[i];
+      slot.start = start;
+      slot.is_in_time = job.latest_end == kNever || start + job.duration <= job.latest_end;
+      if (!slot.is_in_time) missed += 1 + std::max(0, job.priority);
+      insert(placed, {i, start, start + job.duration});
+      end = std::max(end, start + job.duration);
+      start_sum += (start - now_) / kSecond;
     }
-    m.worth = {missed, end, sum};
-    return m;
+    schedule.cost = {missed, end, start_sum};
+    return schedule;
   }
 
  private:
-  struct Placed {
+  struct Placement {
     std::size_t job;
-    Time start, end;
+    Time start;
+    Time end;
   };
-  // Kept by their ends: what is over by the time that is looked at is passed by.
-  static void put(std::vector<Placed>& placed, const Placed& p) {
-    placed.insert(std::upper_bound(placed.begin(), placed.end(), p,
-                                   [](const Placed& a, const Placed& b) { return a.end < b.end; }),
-                  p);
+  // Keeps the placements sorted by their end, so that those that end too early can be skipped.
+  static void insert(std::vector<Placement>& placed, const Placement& placement) {
+    placed.insert(std::upper_bound(placed.begin(), placed.end(), placement,
+                                   [](const Placement& a, const Placement& b) { return a.end < b.end; }),
+                  placement);
   }
-  // The earliest time that goes together with what is placed.
-  Time earliest(std::size_t i, const std::vector<Placed>& placed) const {
-    const JobConstraints& j = jobs_[i];
-    Time at = std::max(now_, j.earliest_start);
-    std::vector<const Placed*> beside;
-    auto from = placed.begin();
+  // The earliest time at which the job neither conflicts with those placed nor exceeds a limit.
+  Time earliest_feasible_start(std::size_t i, const std::vector<Placement>& placed) const {
+    const JobConstraints& job = jobs_[i];
+    Time start = std::max(now_, job.earliest_start);
+    std::vector<const Placement*> concurrent;
+    auto first = placed.begin();
     for (;;) {
-      while (from != placed.end() && from->end <= at) ++from;
-      beside.clear();
-      Time next = kNever;  // a time worth trying if this one will not do
-      bool clash = false;
-      for (auto p = from; p != placed.end(); ++p) {
-        if (p->start >= at + j.duration) continue;
-        next = std::min(next, p->end);
-        // Nothing earlier than its end will do, whatever else ends before.
-        if (clash_[i][p->job]) clash = true, next = p->end;
-        if (clash) break;
-        beside.push_back(&*p);
+      while (first != placed.end() && first->end <= start) ++first;
+      concurrent.clear();
+      Time next_try = kNever;
+      bool has_conflict = false;
+      for (auto placement = first; placement != placed.end(); ++placement) {
+        if (placement->start >= start + job.duration) continue;
+        next_try = std::min(next_try, placement->end);
+        // A conflicting job must end first, whatever else ends before.
+        if (conflicts_[i][placement->job]) {
+          has_conflict = true;
+          next_try = placement->end;
+        }
+        if (has_conflict) break;
+        concurrent.push_back(&*placement);
       }
-      if (!clash && fits(j, at, beside)) return at;
-      at = next;  // something is in the way, so something ends
+      if (!has_conflict && is_within_limits(job, start, concurrent)) return start;
+      start = next_try;  // never kNever here: only a concurrent job can be in the way
     }
   }
-  // The bounds hold at its start and whenever another begins while it is out.
-  bool fits(const JobConstraints& j, Time at, const std::vector<const Placed*>& beside) const {
-    const auto holds = [&](Time t) {
-      int all = 1, rack = 1, zone = 1, region = 1, nodes = j.endpoint_count, voters = j.voter_count;
-      for (const Placed* p : beside) {
-        if (p->start > t || p->end <= t) continue;
-        const JobConstraints& o = jobs_[p->job];
-        ++all, voters += o.voter_count;
-        rack += j.rack >= 0 && o.rack == j.rack, region += j.region >= 0 && o.region == j.region;
-        if (j.zone >= 0 && o.zone == j.zone) ++zone, nodes += o.endpoint_count;
+  // The use of a limit rises only where a job starts: so the limits are checked at the job's own start and
+  // at each start of a concurrent job after it.
+  bool is_within_limits(const JobConstraints& job, Time start,
+                        const std::vector<const Placement*>& concurrent) const {
+    const auto is_within_limits_at = [&](Time time) {
+      int machines = 1;
+      int rack_machines = 1;
+      int zone_machines = 1;
+      int region_machines = 1;
+      int zone_endpoints = job.endpoint_count;
+      int voters = job.voter_count;
+      for (const Placement* placement : concurrent) {
+        if (placement->start > time || placement->end <= time) continue;
+        const JobConstraints& other = jobs_[placement->job];
+        ++machines;
+        voters += other.voter_count;
+        rack_machines += job.rack >= 0 && other.rack == job.rack;
+        region_machines += job.region >= 0 && other.region == job.region;
+        if (job.zone >= 0 && other.zone == job.zone) {
+          ++zone_machines;
+          zone_endpoints += other.endpoint_count;
+        }
       }
-      if (all == 1) return true;  // alone it goes, as its taking up has shown
-      return all <= bounds_.max_machines && rack <= bounds_.max_machines_per_rack &&
-             zone <= bounds_.max_machines_per_zone && region <= bounds_.max_machines_per_region &&
-             (j.voter_count == 0 || voters <= bounds_.max_voters) &&
-             (j.zone < 0 || nodes <= bounds_.max_endpoints_by_zone.at(static_cast<std::size_t>(j.zone)));
+      if (machines == 1) return true;  // a job that doesn't fit alone is refused when it is requested
+      return machines <= limits_.max_machines && rack_machines <= limits_.max_machines_per_rack &&
+             zone_machines <= limits_.max_machines_per_zone &&
+             region_machines <= limits_.max_machines_per_region &&
+             (job.voter_count == 0 || voters <= limits_.max_voters) &&
+             (job.zone < 0 ||
+              zone_endpoints <= limits_.max_endpoints_by_zone.at(static_cast<std::size_t>(job.zone)));
     };
-    if (!holds(at)) return false;
-    return std::all_of(beside.begin(), beside.end(),
-                       [&](const Placed* p) { return p->start <= at || holds(p->start); });
+    if (!is_within_limits_at(start)) return false;
+    return std::all_of(concurrent.begin(), concurrent.end(), [&](const Placement* placement) {
+      return placement->start <= start || is_within_limits_at(placement->start);
+    });
   }
 
   const std::vector<JobConstraints>& jobs_;
-  const PlacementLimits& bounds_;
+  const PlacementLimits& limits_;
   Time now_;
-  std::vector<std::vector<bool>> clash_;
+  std::vector<std::vector<bool>> conflicts_;
 };
 
 }  // namespace
 
-std::vector<JobSlot> schedule_jobs(const std::vector<JobConstraints>& jobs, const PlacementLimits& bounds,
+std::vector<JobSlot> schedule_jobs(const std::vector<JobConstraints>& jobs, const PlacementLimits& limits,
                                    Time now) {
-  const Schedule s(jobs, bounds, now);
-  std::vector<std::size_t> waiting;
-  for (std::size_t i = 0; i < jobs.size(); ++i)
-    if (!jobs[i].started_at) waiting.push_back(i);
-  std::vector<int> clashes(jobs.size());
-  for (const std::size_t i : waiting) clashes[i] = s.clashes(i);
-  const auto by = [&](auto key) {
-    std::vector<std::size_t> order = waiting;
+  const ScheduleBuilder builder(jobs, limits, now);
+  std::vector<std::size_t> queued;
+  for (std::size_t i = 0; i < jobs.size(); ++i) {
+    if (!jobs[i].started_at) queued.push_back(i);
+  }
+  std::vector<int> conflicts(jobs.size());
+  for (const std::size_t i : queued) conflicts[i] = builder.conflict_count(i);
+  const auto order_by = [&](auto key) {
+    std::vector<std::size_t> order = queued;
     std::stable_sort(order.begin(), order.end(),
                      [&](std::size_t a, std::size_t b) { return key(a) < key(b); });
     return order;
   };
-  const auto slack = [&](std::size_t i) {  // the last moment it may begin
+  const auto latest_start = [&](std::size_t i) {
     return jobs[i].latest_end == kNever ? kNever : jobs[i].latest_end - jobs[i].duration;
   };
-  std::vector<std::size_t> best;
-  Schedule::Made made;
-  const auto consider = [&](std::vector<std::size_t> order) {
-    Schedule::Made m = s.make(order);
-    if (!made.slots.empty() && m.worth >= made.worth) return;
-    made = std::move(m), best = std::move(order);
+  std::vector<std::size_t> best_order;
+  ScheduleBuilder::Schedule best;
+  const auto try_order = [&](std::vector<std::size_t> order) {
+    ScheduleBuilder::Schedule schedule = builder.build(order);
+    if (!best.slots.empty() && schedule.cost >= best.cost) return;
+    best = std::move(schedule);
+    best_order = std::move(order);
   };
-  consider(by([&](auto i) { return std::tuple(slack(i), -jobs[i].priority, -clashes[i], jobs[i].id); }));
-  consider(by([&](auto i) { return std::tuple(-jobs[i].priority, slack(i), -clashes[i], jobs[i].id); }));
-  if (waiting.size() > kMany) return made.slots;
-  consider(
-      by([&](auto i) { return std::tuple(slack(i) == kNever, -clashes[i], -jobs[i].duration, jobs[i].id); }));
-  consider(
-      by([&](auto i) { return std::tuple(slack(i) == kNever, -jobs[i].duration, -clashes[i], jobs[i].id); }));
-  if (waiting.size() > 1) {
-    Chance chance(1);
-    const std::size_t tries = std::min(kExchangesMost, kExchanges / waiting.size());
+  try_order(order_by(
+      [&](auto i) { return std::tuple(latest_start(i), -jobs[i].priority, -conflicts[i], jobs[i].id); }));
+  try_order(order_by(
+      [&](auto i) { return std::tuple(-jobs[i].priority, latest_start(i), -conflicts[i], jobs[i].id); }));
+  if (queued.size() > kMaxJobsForFullSearch) return best.slots;
+  try_order(order_by([&](auto i) {
+    return std::tuple(latest_start(i) == kNever, -conflicts[i], -jobs[i].duration, jobs[i].id);
+  }));
+  try_order(order_by([&](auto i) {
+    return std::tuple(latest_start(i) == kNever, -jobs[i].duration, -conflicts[i], jobs[i].id);
+  }));
+  if (queued.size() > 1) {
+    RandomSource random(1);
+    const std::size_t tries = std::min(kMaxExchanges, kExchangeBudget / queued.size());
     for (std::size_t k = 0; k < tries; ++k) {
-      std::vector<std::size_t> order = best;
-      const std::size_t a = chance.below(order.size()), b = chance.below(order.size());
-      if (k % 2 == 0)
+      std::vector<std::size_t> order = best_order;
+      const std::size_t a = random.below(order.size());
+      const std::size_t b = random.below(order.size());
+      if (k % 2 == 0) {
         std::swap(order[a], order[b]);
-      else
+      } else {
         std::rotate(order.begin() + static_cast<std::ptrdiff_t>(std::min(a, b)),
                     order.begin() + static_cast<std::ptrdiff_t>(std::max(a, b)),
                     order.begin() + static_cast<std::ptrdiff_t>(std::max(a, b)) + 1);
-      consider(std::move(order));
+      }
+      try_order(std::move(order));
     }
   }
-  return made.slots;
+  return best.slots;
 }
 
 Time schedule_end(const std::vector<JobConstraints>& jobs, const std::vector<JobSlot>& slots) {
   Time end = 0;
-  for (std::size_t i = 0; i < jobs.size(); ++i)
+  for (std::size_t i = 0; i < jobs.size(); ++i) {
     if (slots[i].start != kNever) end = std::max(end, slots[i].start + jobs[i].duration);
+  }
   return end;
 }
 
-std::vector<PlannedJob> plan_jobs(const JobQueue& works, Time now, const JobRequest* further,
-                                  const std::set<std::uint64_t>& passed) {
-  const MaintenanceLimits& terms = works.fleet_status().limits;
-  PlacementLimits bounds{terms.max_machines,
-                         terms.max_machines_per_rack,
-                         terms.max_machines_per_zone,
-                         terms.max_machines_per_region,
-                         std::max(0, (static_cast<int>(works.fleet_status().voters.size()) - 1) / 2),
-                         {}};
-  std::map<std::string, int> racks, zones, regions;
-  const auto number = [](std::map<std::string, int>& of, const std::string& name) {
-    return name.empty() ? -1 : of.try_emplace(name, static_cast<int>(of.size())).first->second;
+std::vector<PlannedJob> plan_jobs(const JobQueue& queue, Time now, const JobRequest* candidate,
+                                  const std::set<std::uint64_t>& skipped) {
+  const MaintenanceLimits& limits = queue.fleet_status().limits;
+  PlacementLimits placement_limits{
+      limits.max_machines,
+      limits.max_machines_per_rack,
+      limits.max_machines_per_zone,
+      limits.max_machines_per_region,
+      std::max(0, (static_cast<int>(queue.fleet_status().voters.size()) - 1) / 2),
+      {}};
+  std::map<std::string, int> racks;
+  std::map<std::string, int> zones;
+  std::map<std::string, int> regions;
+  const auto index_of = [](std::map<std::string, int>& indexes, const std::string& name) {
+    return name.empty() ? -1 : indexes.try_emplace(name, static_cast<int>(indexes.size())).first->second;
   };
   std::vector<JobConstraints> jobs;
-  const auto add = [&](std::uint64_t id, const JobRequest& r) -> JobConstraints& {
-    JobConstraints j;
-    j.id = id, j.earliest_start = r.earliest_start, j.latest_end = r.latest_end,
-    j.duration = r.duration + terms.transition_time;
-    j.priority = r.priority, j.shards = works.shards_of(r);
-    j.rack = number(racks, r.rack), j.zone = number(zones, works.zone_of(r));
-    j.region = number(regions, works.region_of(r));
-    j.endpoint_count = static_cast<int>(r.endpoints.size()), j.voter_count = works.voter_count(r);
-    return jobs.emplace_back(std::move(j));
+  const auto add_job = [&](std::uint64_t id, const JobRequest& request) -> JobConstraints& {
+    JobConstraints job;
+    job.id = id;
+    job.earliest_start = request.earliest_start;
+    job.latest_end = request.latest_end;
+    job.duration = request.duration + limits.transition_time;
+    job.priority = request.priority;
+    job.shards = queue.shards_of(request);
+    job.rack = index_of(racks, request.rack);
+    job.zone = index_of(zones, queue.zone_of(request));
+    job.region = index_of(regions, queue.region_of(request));
+    job.endpoint_count = static_cast<int>(request.endpoints.size());
+    job.voter_count = queue.voter_count(request);
+    return jobs.emplace_back(std::move(job));
   };
-  std::vector<const Job*> waiting;
-  for (const auto& [n, w] : works.jobs()) {
-    if (w.state == JobState::kLost || !w.is_open()) continue;
-    if (w.is_in_progress())
-      add(n, w.request).started_at = w.state_since;
-    else if (!w.is_held && !passed.count(n))
-      waiting.push_back(&w);
+  std::vector<const Job*> queued;
+  for (const auto& [number, job] : queue.jobs()) {
+    if (job.state == JobState::kLost || !job.is_open()) continue;
+    if (job.is_in_progress()) {
+      add_job(number, job.request).started_at = job.state_since;
+    } else if (!job.is_held && !skipped.count(number)) {
+      queued.push_back(&job);
+    }
   }
-  std::vector<PlannedJob> out;
-  std::stable_sort(waiting.begin(), waiting.end(), [](const Job* a, const Job* b) {
+  std::vector<PlannedJob> plan;
+  std::stable_sort(queued.begin(), queued.end(), [](const Job* a, const Job* b) {
     return std::tuple(a->request.latest_end, -a->request.priority) <
            std::tuple(b->request.latest_end, -b->request.priority);
   });
-  for (std::size_t i = 0; i < waiting.size(); ++i)
-    if (i < kPlannedMost)
-      add(waiting[i]->number, waiting[i]->request);
-    else
-      out.push_back({waiting[i]->number, kNever, true});
-  if (further) add(0, *further);
-  bounds.max_endpoints_by_zone.resize(zones.size());
-  for (const auto& [zone, n] : zones)
-    bounds.max_endpoints_by_zone[static_cast<std::size_t>(n)] = works.max_zone_endpoints_out(zone);
-  const std::vector<JobSlot> slots = schedule_jobs(jobs, bounds, now);
-  for (std::size_t i = 0; i < jobs.size(); ++i)
-    if (!jobs[i].started_at) out.push_back({jobs[i].id, slots[i].start, slots[i].is_in_time});
-  std::sort(out.begin(), out.end(), [](const PlannedJob& a, const PlannedJob& b) {
+  for (std::size_t i = 0; i < queued.size(); ++i) {
+    if (i < kMaxPlannedJobs) {
+      add_job(queued[i]->number, queued[i]->request);
+    } else {
+      plan.push_back({queued[i]->number, kNever, true});
+    }
+  }
+  if (candidate) add_job(0, *candidate);
+  placement_limits.max_endpoints_by_zone.resize(zones.size());
+  for (const auto& [zone, index] : zones) {
+    placement_limits.max_endpoints_by_zone[static_cast<std::size_t>(index)] =
+        queue.max_zone_endpoints_out(zone);
+  }
+  const std::vector<JobSlot> slots = schedule_jobs(jobs, placement_limits, now);
+  for (std::size_t i = 0; i < jobs.size(); ++i) {
+    if (!jobs[i].started_at) plan.push_back({jobs[i].id, slots[i].start, slots[i].is_in_time});
+  }
+  std::sort(plan.begin(), plan.end(), [](const PlannedJob& a, const PlannedJob& b) {
     return std::tuple(a.start, a.job) < std::tuple(b.start, b.job);
   });
-  return out;
+  return plan;
 }
 
 }  // namespace cairnhub::maintenance
--- a/src/maintenance/job_scheduler.h
+++ b/src/maintenance/job_scheduler.h
@@ -1,10 +1,15 @@
-// When each work is to begin: a plan that every voter makes alike from the same book. No I/O, no clock, no
-// chance but from a fixed seed.
+// Plans when each maintenance job starts.
 //
-// A schedule with conflicts and shared bounds (Kolisch and Hartmann 1999 name the way): works are taken in an
-// order and each is put at its earliest time that goes together with those placed before. Several orders are
-// tried (deadline, priority, number of conflicts, length), then some exchanges in the best of them; kept is
-// what misses the least, is over soonest, and begins soonest.
+// Decides: an order and a start time for the queued jobs, so that no two that share a shard overlap and the
+// limits on machines, endpoints and voters hold at every moment.
+//
+// Inputs: the job queue and a time. No I/O and no clock, and random numbers from a fixed seed alone, so every
+// voter makes the same plan from the same queue.
+//
+// How: serial schedule generation for a resource-constrained schedule (Kolisch and Hartmann 1999). Jobs are
+// taken in some order, and each is placed at its earliest feasible time beside those placed before. Several
+// orders are tried (by deadline, priority, number of conflicts, duration), then random exchanges in the best
+// of them. The best schedule misses the fewest deadlines, then ends first, then starts its jobs earliest.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -16,42 +21,52 @@
 
 namespace cairnhub::maintenance {
 
-// A work as the schedule sees it.
+// What the scheduler knows of a job.
 struct JobConstraints {
   std::uint64_t id = 0;
-  Time earliest_start = 0, latest_end = kNever;  // its end, back in service, by `latest`
-  Time duration = 0;                             // from the first step out to the last one back
+  Time earliest_start = 0;
+  Time latest_end = kNever;  // back in service by then
+  Time duration = 0;         // from draining until back in service
   int priority = 0;
-  std::vector<int> shards;  // sorted; no two at once
-  int rack = -1, zone = -1, region = -1, endpoint_count = 0, voter_count = 0;
-  std::optional<Time> started_at;  // under way since: it is where it is
+  std::vector<int> shards;  // sorted; jobs that share one don't overlap
+  int rack = -1;            // -1: none
+  int zone = -1;
+  int region = -1;
+  int endpoint_count = 0;
+  int voter_count = 0;
+  std::optional<Time> started_at;  // in progress, so not to be moved
 };
 
+// Limits at every moment.
 struct PlacementLimits {
-  int max_machines = 1, max_machines_per_rack = 1, max_machines_per_zone = 1, max_machines_per_region = 1,
-      max_voters = 0;
-  std::vector<int> max_endpoints_by_zone;  // by zone
+  int max_machines = 1;
+  int max_machines_per_rack = 1;
+  int max_machines_per_zone = 1;
+  int max_machines_per_region = 1;
+  int max_voters = 0;
+  std::vector<int> max_endpoints_by_zone;
 };
 
 struct JobSlot {
   Time start = kNever;
-  bool is_in_time = true;  // over by its latest
+  bool is_in_time = true;  // ends by `latest_end`
 };
 
-// By job, as given. Nothing begins before `now`.
-std::vector<JobSlot> schedule_jobs(const std::vector<JobConstraints>& jobs, const PlacementLimits& bounds,
+// @return a slot for each job, in the order of `jobs`; none that isn't in progress starts before `now`
+std::vector<JobSlot> schedule_jobs(const std::vector<JobConstraints>& jobs, const PlacementLimits& limits,
                                    Time now);
-// When all are over, of those placed.
+// When the last of the scheduled jobs ends.
 Time schedule_end(const std::vector<JobConstraints>& jobs, const std::vector<JobSlot>& slots);
 
 struct PlannedJob {
   std::uint64_t job = 0;
-  Time start = kNever;  // kNever: after all that are planned, of which there are as many as one looks at
+  Time start = kNever;  // kNever: after the planned ones, whose number is limited
   bool is_in_time = true;
 };
-// The works that wait, and where `further` is stated that one too, as number 0. Those held are left out, and
-// those named in `passed`.
-std::vector<PlannedJob> plan_jobs(const JobQueue& works, Time now, const JobRequest* further = nullptr,
-                                  const std::set<std::uint64_t>& passed = {});
+// Plans the queued jobs that aren't held, and returns them by start time.
+// @param candidate  planned with them as job 0, if not null
+// @param skipped    numbers of jobs to leave out
+std::vector<PlannedJob> plan_jobs(const JobQueue& queue, Time now, const JobRequest* candidate = nullptr,
+                                  const std::set<std::uint64_t>& skipped = {});
 
 }  // namespace cairnhub::maintenance
--- a/src/maintenance/maintenance_controller.cpp
+++ b/src/maintenance/maintenance_controller.cpp
@@ -7,340 +7,407 @@
 
 namespace {
 
-// Works up to which the plan is made anew at each change rather than each second.
-constexpr std::size_t kFew = 64;
+// With at most this many jobs the plan is made anew at each change of the queue, with more only each second.
+constexpr std::size_t kMaxJobsToPlanOnChange = 64;
+constexpr std::size_t kMaxReasonBytes = 256;
+// Brokers named in one reason.
+constexpr int kMaxNamedBrokers = 5;
 
-bool holds_all(const std::set<std::string>& all, const std::vector<std::string>& names) {
-  return std::all_of(names.begin(), names.end(), [&](const auto& n) { return all.count(n) != 0; });
+bool holds_all(const std::set<std::string>& set, const std::vector<std::string>& names) {
+  return std::all_of(names.begin(), names.end(), [&](const auto& name) { return set.count(name) != 0; });
 }
-bool holds_any(const std::set<std::string>& all, const std::vector<std::string>& names) {
-  return std::any_of(names.begin(), names.end(), [&](const auto& n) { return all.count(n) != 0; });
+bool holds_any(const std::set<std::string>& set, const std::vector<std::string>& names) {
+  return std::any_of(names.begin(), names.end(), [&](const auto& name) { return set.count(name) != 0; });
 }
-std::string rules_with(const std::set<std::string>& nodes) {
-  shared_config::Rules r;
-  r.at_work = nodes;
-  return shared_config::text_of(r);
+std::string rules_that_exclude(const std::set<std::string>& endpoints) {
+  shared_config::Rules rules;
+  rules.at_work = endpoints;
+  return shared_config::text_of(rules);
 }
 
 }  // namespace
 
-void MaintenanceController::record_report(Time now, const std::string& from, OpenAttemptsReport clear) {
-  if (clears_.size() >= shared_config::Versions::kRoster && !clears_.count(from)) return;
-  clear.received_at = now;
-  clears_[from] = std::move(clear);
+void MaintenanceController::record_report(Time now, const std::string& from, OpenAttemptsReport report) {
+  if (reports_.size() >= shared_config::Versions::kRoster && !reports_.count(from)) return;
+  report.received_at = now;
+  reports_[from] = std::move(report);
 }
 
 void MaintenanceController::stop_leading() {
-  out_ = false;
-  clears_.clear(), withheld_since_.clear(), seen_at_.clear(), waits_.clear(), stand_down_.clear();
-  stuck_since_.clear(), passed_.clear();
+  has_pending_proposal_ = false;
+  reports_.clear();
+  excluded_since_.clear();
+  observed_states_.clear();
+  waiting_reasons_.clear();
+  brokers_to_stop_.clear();
+  blocked_since_.clear();
+  skipped_.clear();
 }
 
 void MaintenanceController::append_state(Time now, std::string& into) const {
-  into += out_ ? 'o' : '-';
-  into += std::to_string(std::max<Time>(0, facts_next_ - now));
-  for (const auto& [work, since] : withheld_since_)
-    into += 'w' + std::to_string(work) + ' ' + std::to_string(now - since);
-  for (const auto& [broker, c] : clears_) {
-    into += 'c' + broker + std::to_string(now - c.received_at) + ' ' + std::to_string(c.lease_low_version);
-    for (const auto& [node, n] : c.by_endpoint) into += node + std::to_string(n);
+  into += has_pending_proposal_ ? 'o' : '-';
+  into += std::to_string(std::max<Time>(0, next_status_at_ - now));
+  for (const auto& [job, since] : excluded_since_) {
+    into += 'w' + std::to_string(job) + ' ' + std::to_string(now - since);
+  }
+  for (const auto& [broker, report] : reports_) {
+    into += 'c' + broker + std::to_string(now - report.received_at) + ' ' +
+            std::to_string(report.lease_low_version);
+    for (const auto& [endpoint, open] : report.by_endpoint) into += endpoint + std::to_string(open);
   }
 }
 
-shared_config::Entry MaintenanceController::entry(shared_config::Entry::Kind kind, Time now,
-                                                  const std::string& why) {
-  shared_config::Entry e;
-  e.kind = kind, e.who = "upkeep", e.why = why.substr(0, 256);
-  e.id =
-      "upkeep-" + shared_config::hash_of(self_ + " " + std::to_string(now) + " " + std::to_string(++said_));
-  return e;
+shared_config::Entry MaintenanceController::make_entry(shared_config::Entry::Kind kind, Time now,
+                                                       const std::string& reason) {
+  shared_config::Entry entry;
+  entry.kind = kind;
+  entry.who = "upkeep";
+  entry.why = reason.substr(0, kMaxReasonBytes);
+  entry.id = "upkeep-" + shared_config::hash_of(self_ + " " + std::to_string(now) + " " +
+                                                std::to_string(++entries_made_));
+  return entry;
 }
 
-shared_config::Entry MaintenanceController::move(Time now, Time wall, const Job& w, JobState to,
-                                                 const std::string& why) {
-  shared_config::Entry e = entry(shared_config::Entry::Kind::board, now, why);
-  JobOperation op;
-  op.stated_at = wall, op.transition = JobOperation::Transition{w.number, w.state, to};
-  e.text = encode_operation(op);
-  return e;
+shared_config::Entry MaintenanceController::make_transition(Time now, Time wall_time, const Job& job,
+                                                            JobState to, const std::string& reason) {
+  shared_config::Entry entry = make_entry(shared_config::Entry::Kind::board, now, reason);
+  JobOperation operation;
+  operation.stated_at = wall_time;
+  operation.transition = JobOperation::Transition{job.number, job.state, to};
+  entry.text = encode_operation(operation);
+  return entry;
 }
 
-std::set<std::string> MaintenanceController::retiring_brokers(const JobQueue& works) const {
+std::set<std::string> MaintenanceController::retiring_brokers(const JobQueue& queue) const {
   std::set<std::string> all;
-  for (const auto& [n, w] : works.jobs())
-    if (w.takes_endpoints_out()) all.insert(w.request.brokers.begin(), w.request.brokers.end());
+  for (const auto& [number, job] : queue.jobs()) {
+    if (job.takes_endpoints_out()) all.insert(job.request.brokers.begin(), job.request.brokers.end());
+  }
   return all;
 }
 
-bool MaintenanceController::worth_saying(const FleetStatus& said, const FleetStatus& seen) const {
-  FleetStatus like = seen;  // but for loads, which change all the time
-  like.revision = said.revision;
-  for (auto& [name, z] : like.zones) {
-    const auto it = said.zones.find(name);
-    if (it == said.zones.end()) return true;
-    const auto near = [&](double was, double is) {
-      return std::abs(is - was) <= terms_.min_load_change_share * std::max(was, 1.0);
+// Small changes of load and capacity don't count: they change all the time.
+bool MaintenanceController::is_worth_sending(const FleetStatus& sent, const FleetStatus& current) const {
+  FleetStatus comparable = current;
+  comparable.revision = sent.revision;
+  for (auto& [name, zone] : comparable.zones) {
+    const auto it = sent.zones.find(name);
+    if (it == sent.zones.end()) return true;
+    const auto is_near = [&](double before, double after) {
+      return std::abs(after - before) <= options_.min_load_change_share * std::max(before, 1.0);
     };
-    if (near(it->second.load_per_second, z.load_per_second) &&
-        near(it->second.capacity_per_second, z.capacity_per_second))
-      z.load_per_second = it->second.load_per_second, z.capacity_per_second = it->second.capacity_per_second;
+    if (is_near(it->second.load_per_second, zone.load_per_second) &&
+        is_near(it->second.capacity_per_second, zone.capacity_per_second)) {
+      zone.load_per_second = it->second.load_per_second;
+      zone.capacity_per_second = it->second.capacity_per_second;
+    }
   }
-  return !(like == said);
+  return !(comparable == sent);
 }
 
-std::optional<shared_config::Entry> MaintenanceController::next_entry(Time now, Time wall,
-                                                                      const shared_config::Versions& book,
-                                                                      const LeaderView& seen) {
-  const auto* works = dynamic_cast<const JobQueue*>(book.board().get());
-  if (!works || out_) return std::nullopt;
-  waits_.clear(), stand_down_.clear();
-  std::erase_if(withheld_since_, [&](const auto& w) {
-    const auto it = works->jobs().find(w.first);
-    return it == works->jobs().end() || !it->second.takes_endpoints_out();
+std::optional<shared_config::Entry> MaintenanceController::next_entry(Time now, Time wall_time,
+                                                                      const shared_config::Versions& versions,
+                                                                      const LeaderView& view) {
+  const auto* queue = dynamic_cast<const JobQueue*>(versions.board().get());
+  if (!queue || has_pending_proposal_) return std::nullopt;
+  waiting_reasons_.clear();
+  brokers_to_stop_.clear();
+  std::erase_if(excluded_since_, [&](const auto& excluded) {
+    const auto it = queue->jobs().find(excluded.first);
+    return it == queue->jobs().end() || !it->second.takes_endpoints_out();
   });
-  std::erase_if(seen_at_, [&](const auto& w) { return works->jobs().count(w.first) == 0; });
-  std::optional<shared_config::Entry> e;
-  if (now >= facts_next_ && worth_saying(works->fleet_status(), seen.fleet_status)) {
-    facts_next_ = now + terms_.status_interval;
-    e = entry(shared_config::Entry::Kind::board, now, "what is seen");
-    JobOperation op;
-    op.stated_at = wall, op.fleet_status = seen.fleet_status;
-    e->text = encode_operation(op);
+  std::erase_if(observed_states_,
+                [&](const auto& observed) { return queue->jobs().count(observed.first) == 0; });
+  std::optional<shared_config::Entry> entry;
+  if (now >= next_status_at_ && is_worth_sending(queue->fleet_status(), view.fleet_status)) {
+    next_status_at_ = now + options_.status_interval;
+    entry = make_entry(shared_config::Entry::Kind::board, now, "fleet status");
+    JobOperation operation;
+    operation.stated_at = wall_time;
+    operation.fleet_status = view.fleet_status;
+    entry->text = encode_operation(operation);
   }
-  // All of them are looked at each time, for what they wait for; the first that is due is said.
-  auto next = withhold(now, book, *works);
-  if (!e) e = std::move(next);
-  next = advance(now, wall, book, *works, seen);
-  if (!e) e = std::move(next);
-  if (!e) e = begin(now, wall, book.board(), *works);
-  out_ = e.has_value();
-  return e;
+  // Both are called each time, as they also collect what the jobs wait for. The first entry found is
+  // proposed.
+  auto candidate = exclude_endpoints(now, versions, *queue);
+  if (!entry) entry = std::move(candidate);
+  candidate = advance_jobs(now, wall_time, versions, *queue, view);
+  if (!entry) entry = std::move(candidate);
+  if (!entry) entry = start_next_job(now, wall_time, versions.board(), *queue);
+  has_pending_proposal_ = entry.has_value();
+  return entry;
 }
 
-// Ground and version follow the works: narrower first in the ground, wider first in the version.
-std::optional<shared_config::Entry> MaintenanceController::withhold(Time now,
-                                                                    const shared_config::Versions& book,
-                                                                    const JobQueue& works) {
-  const std::set<std::string> wanted = works.endpoints_out(), before = works.baseline_exclusions();
-  const auto& ground = book.ground().rules->at_work;
-  const auto& newest = book.all().rbegin()->second.rules->at_work;
-  const auto& force = book.at(book.in_force())->rules->at_work;
-  const auto within = [](const auto& a, const auto& b) {
-    return std::includes(b.begin(), b.end(), a.begin(), a.end());
+// Exclusions are added to the baseline first and to the versions second, and removed in the opposite order.
+std::optional<shared_config::Entry> MaintenanceController::exclude_endpoints(
+    Time now, const shared_config::Versions& versions, const JobQueue& queue) {
+  const std::set<std::string> wanted = queue.endpoints_out();
+  const std::set<std::string> wanted_in_baseline = queue.baseline_exclusions();
+  const auto& baseline = versions.ground().rules->at_work;
+  const auto& newest = versions.all().rbegin()->second.rules->at_work;
+  const auto& in_force = versions.at(versions.in_force())->rules->at_work;
+  const auto is_subset = [](const auto& subset, const auto& set) {
+    return std::includes(set.begin(), set.end(), subset.begin(), subset.end());
   };
-  if (!within(before, ground) && !book.ground_next()) {  // else it is being taken up
-    std::set<std::string> both = ground;
-    both.insert(before.begin(), before.end());
-    shared_config::Entry e = entry(shared_config::Entry::Kind::ground_works, now, "machines are taken out");
-    e.base = book.ground_works_from(), e.text = rules_with(both);
-    return e;
+  // While a next baseline exists the brokers are taking it up.
+  if (!is_subset(wanted_in_baseline, baseline) && !versions.ground_next()) {
+    std::set<std::string> both = baseline;
+    both.insert(wanted_in_baseline.begin(), wanted_in_baseline.end());
+    shared_config::Entry entry = make_entry(shared_config::Entry::Kind::ground_works, now,
+                                            "baseline: exclude endpoints of machines taken out");
+    entry.base = versions.ground_works_from();
+    entry.text = rules_that_exclude(both);
+    return entry;
   }
-  if (newest != wanted && within(wanted, ground)) {
-    shared_config::Entry e = entry(shared_config::Entry::Kind::propose_works, now, "machines at work");
-    e.base = book.works_from(), e.text = rules_with(wanted);
-    return e;
+  if (newest != wanted && is_subset(wanted, baseline)) {
+    shared_config::Entry entry = make_entry(shared_config::Entry::Kind::propose_works, now,
+                                            "rules: exclude endpoints of machines that are out");
+    entry.base = versions.works_from();
+    entry.text = rules_that_exclude(wanted);
+    return entry;
   }
-  // Danger: the version that brings a node back is not in force yet, and the ground would go beyond the one
-  // that is.
-  if (ground != before && newest == wanted && force == wanted && !book.ground_next()) {
-    shared_config::Entry e = entry(shared_config::Entry::Kind::ground_works, now, "machines are back");
-    e.base = book.ground_works_from(), e.text = rules_with(before);
-    return e;
+  // Until the version that readmits an endpoint is in force, a baseline that readmits it would allow more
+  // than the version in force.
+  if (baseline != wanted_in_baseline && newest == wanted && in_force == wanted && !versions.ground_next()) {
+    shared_config::Entry entry = make_entry(shared_config::Entry::Kind::ground_works, now,
+                                            "baseline: readmit endpoints of machines that are back");
+    entry.base = versions.ground_works_from();
+    entry.text = rules_that_exclude(wanted_in_baseline);
+    return entry;
   }
   return std::nullopt;
 }
 
-// Who may still have something out at its nodes, or bring something there; empty: nobody.
-std::string MaintenanceController::not_clear(Time now, const Job& w, const shared_config::Versions& book,
-                                             const LeaderView& seen) {
-  if (w.request.endpoints.empty()) return "";  // its brokers leave, which is looked at by itself
-  const auto& ground = book.ground().rules->at_work;
-  const auto& force = book.at(book.in_force())->rules->at_work;
-  if (!holds_all(ground, w.request.endpoints)) {
-    withheld_since_.erase(w.number);
-    return "the common ground does not withhold it yet: every broker on the roster must take that up";
+// Why the machine's endpoints may still have open attempts or get new ones. Empty: neither.
+std::string MaintenanceController::draining_reason(Time now, const Job& job,
+                                                   const shared_config::Versions& versions,
+                                                   const LeaderView& view) {
+  if (job.request.endpoints.empty()) return "";  // the machine's brokers are checked by the caller
+  const auto& baseline = versions.ground().rules->at_work;
+  const auto& in_force = versions.at(versions.in_force())->rules->at_work;
+  if (!holds_all(baseline, job.request.endpoints)) {
+    excluded_since_.erase(job.number);
+    return "the baseline rules don't exclude its nodes yet: every enlisted broker must take them up";
   }
-  if (!holds_all(force, w.request.endpoints)) {
-    withheld_since_.erase(w.number);
-    return "the version that withholds it is not in force yet";
+  if (!holds_all(in_force, job.request.endpoints)) {
+    excluded_since_.erase(job.number);
+    return "the version that excludes its nodes is not in force yet";
   }
-  const Time since = withheld_since_.try_emplace(w.number, now).first->second;
-  const Time spent =
-      static_cast<Time>(static_cast<double>(terms_.max_attempt_time) * (1 + 2 * terms_.max_clock_drift));
-  std::string who;
-  int n = 0;
-  for (const auto& broker : book.roster()) {
-    const auto held = seen.leases.find(broker);
-    const bool live = held != seen.leases.end() && held->second.live(now);
-    const auto c = clears_.find(broker);
-    bool clear = false;
-    if (live || broker == self_) {
-      // It must have said so itself, under a version without the nodes, since that is in force.
-      const shared_config::Version* acted =
-          c == clears_.end() ? nullptr : book.at(c->second.lease_low_version);
-      clear = c != clears_.end() && c->second.received_at >= since && acted &&
-              holds_all(acted->rules->at_work, w.request.endpoints) &&
-              std::all_of(w.request.endpoints.begin(), w.request.endpoints.end(), [&](const auto& node) {
-                const auto out = c->second.by_endpoint.find(node);
-                return out != c->second.by_endpoint.end() && out->second == 0;
-              });
+  const Time since = excluded_since_.try_emplace(job.number, now).first->second;
+  const Time open_for_at_most =
+      static_cast<Time>(static_cast<double>(options_.max_attempt_time) * (1 + 2 * options_.max_clock_drift));
+  std::string names;
+  int missing = 0;
+  for (const auto& broker : versions.roster()) {
+    const auto lease = view.leases.find(broker);
+    const bool has_lease = lease != view.leases.end() && lease->second.live(now);
+    const auto report = reports_.find(broker);
+    bool is_clear = false;
+    if (has_lease || broker == self_) {
+      // The broker must have reported it since the endpoints are excluded, and while it acted under a version
+      // that excludes them.
+      const shared_config::Version* version =
+          report == reports_.end() ? nullptr : versions.at(report->second.lease_low_version);
+      is_clear =
+          report != reports_.end() && report->second.received_at >= since && version &&
+          holds_all(version->rules->at_work, job.request.endpoints) &&
+          std::all_of(job.request.endpoints.begin(), job.request.endpoints.end(), [&](const auto& endpoint) {
+            const auto open = report->second.by_endpoint.find(endpoint);
+            return open != report->second.by_endpoint.end() && open->second == 0;
+          });
     } else {
-      clear = now >= since + spent;
+      is_clear = now >= since + open_for_at_most;
     }
-    if (clear) continue;
-    if (++n <= 5) who += (who.empty() ? "" : ", ") + broker;
+    if (is_clear) continue;
+    if (++missing <= kMaxNamedBrokers) names += (names.empty() ? "" : ", ") + broker;
   }
-  if (n == 0) return "";
-  return "not known to be done there: " + who + (n > 5 ? " and " + std::to_string(n - 5) + " more" : "");
+  if (missing == 0) return "";
+  return "brokers that have not reported zero open attempts: " + names +
+         (missing > kMaxNamedBrokers ? " and " + std::to_string(missing - kMaxNamedBrokers) + " more" : "");
 }
 
-// Past its length and the time stated, by the wall clock; and seen there for that time at least by this
-// leader's own.
-bool MaintenanceController::overdue(Time now, Time wall, const Job& w, Time length,
-                                    const FleetStatus& facts) {
-  return wall >= w.state_since + length + facts.limits.lost_after &&
-         now >= seen_at_.at(w.number).since + facts.limits.lost_after;
+// Whether the job is late by the wall clock, and this leader has seen it in its state for at least
+// `lost_after` by its own clock.
+bool MaintenanceController::is_overdue(Time now, Time wall_time, const Job& job, Time duration,
+                                       const FleetStatus& status) const {
+  return wall_time >= job.state_since + duration + status.limits.lost_after &&
+         now >= observed_states_.at(job.number).since + status.limits.lost_after;
 }
 
-std::optional<shared_config::Entry> MaintenanceController::advance(Time now, Time wall,
-                                                                   const shared_config::Versions& book,
-                                                                   const JobQueue& works,
-                                                                   const LeaderView& seen) {
-  std::optional<shared_config::Entry> due;
-  const auto say = [&](const Job& w, JobState to, const std::string& why) {
-    if (!due) due = move(now, wall, w, to, why);
+std::optional<shared_config::Entry> MaintenanceController::advance_jobs(
+    Time now, Time wall_time, const shared_config::Versions& versions, const JobQueue& queue,
+    const LeaderView& view) {
+  std::optional<shared_config::Entry> entry;
+  const auto propose = [&](const Job& job, JobState to, const std::string& reason) {
+    if (!entry) entry = make_transition(now, wall_time, job, to, reason);
   };
-  const FleetStatus& facts = works.fleet_status();
-  const std::set<std::string> leaving = retiring_brokers(works);
-  for (const auto& [n, w] : works.jobs()) {
-    if (!w.is_in_progress()) continue;
-    At& at = seen_at_.try_emplace(n, At{w.state, now}).first->second;
-    if (at.step != w.state) at = {w.state, now};
-    if (w.state == JobState::kDraining || w.state == JobState::kEmpty) {
-      // What has failed meanwhile may need its nodes more than the work does.
-      const bool alive =
-          std::any_of(w.request.endpoints.begin(), w.request.endpoints.end(), [&](const auto& node) {
-            const auto it = facts.endpoints.find(node);
-            return it != facts.endpoints.end() && it->second.is_ready;
+  const FleetStatus& status = queue.fleet_status();
+  const std::set<std::string> retiring = retiring_brokers(queue);
+  for (const auto& [number, job] : queue.jobs()) {
+    if (!job.is_in_progress()) continue;
+    ObservedState& observed =
+        observed_states_.try_emplace(number, ObservedState{job.state, now}).first->second;
+    if (observed.state != job.state) observed = {job.state, now};
+    if (job.state == JobState::kDraining || job.state == JobState::kEmpty) {
+      // After a failure elsewhere the machine may be needed more in service.
+      const bool has_ready_endpoint =
+          std::any_of(job.request.endpoints.begin(), job.request.endpoints.end(), [&](const auto& endpoint) {
+            const auto it = status.endpoints.find(endpoint);
+            return it != status.endpoints.end() && it->second.is_ready;
           });
-      if (!w.request.is_emergency && alive) {
-        const auto shards = works.shards_below_min_replicas(w.request);
-        const auto zone = facts.zones.find(works.zone_of(w.request));
+      if (!job.request.is_emergency && has_ready_endpoint) {
+        const auto shards = queue.shards_below_min_replicas(job.request);
+        const auto zone = status.zones.find(queue.zone_of(job.request));
         if (!shards.empty()) {
-          say(w, JobState::kQueued, "called back: shard " + std::to_string(shards.front()) + " needs it");
+          propose(job, JobState::kQueued,
+                  "called back: shard " + std::to_string(shards.front()) + " needs it");
           continue;
         }
-        if (zone != facts.zones.end() && !zone->second.serves_locally) {
-          say(w, JobState::kQueued, "called back: zone \"" + zone->first + "\" is in failover");
+        if (zone != status.zones.end() && !zone->second.serves_locally) {
+          propose(job, JobState::kQueued, "called back: zone \"" + zone->first + "\" is in failover");
           continue;
         }
       }
     }
-    switch (w.state) {
+    switch (job.state) {
       case JobState::kDraining: {
-        std::string why = not_clear(now, w, book, seen);
-        if (why.empty())
-          for (const auto& b : w.request.brokers) {
-            const auto held = seen.leases.find(b);
-            const bool there = b == self_ || seen.live_brokers.count(b) ||
-                               (held != seen.leases.end() && held->second.live(now));
-            if (!there) continue;
-            why += (why.empty() ? "broker on it has not left: " : ", ") + b;
-            // Danger: it leaves with its vote while another could take that up; the leader hands over first.
-            std::size_t spare = 0;
-            for (const auto& [name, h] : seen.leases)
-              spare += h.may_vote && h.live(now) && !seen.voters.count(name) && !leaving.count(name);
-            if (b != self_ && (!seen.voters.count(b) || spare == 0)) stand_down_.insert(b);
+        std::string reason = draining_reason(now, job, versions, view);
+        if (reason.empty()) {
+          for (const auto& broker : job.request.brokers) {
+            const auto lease = view.leases.find(broker);
+            const bool is_running = broker == self_ || view.live_brokers.count(broker) ||
+                                    (lease != view.leases.end() && lease->second.live(now));
+            if (!is_running) continue;
+            reason += (reason.empty() ? "brokers on it are still running: " : ", ") + broker;
+            // A voter is stopped at once only if no other broker could take over its vote. Otherwise it waits
+            // until the vote has moved, so that the vote is not lost with it. The leader hands over
+            // leadership before it stops.
+            std::size_t spare_voters = 0;
+            for (const auto& [name, held] : view.leases) {
+              spare_voters +=
+                  held.may_vote && held.live(now) && !view.voters.count(name) && !retiring.count(name);
+            }
+            if (broker != self_ && (!view.voters.count(broker) || spare_voters == 0)) {
+              brokers_to_stop_.insert(broker);
+            }
           }
-        if (why.empty())
-          say(w, JobState::kEmpty, "nothing of it is out anywhere");
-        else
-          waits_[n] = why;
+        }
+        if (reason.empty()) {
+          propose(job, JobState::kEmpty, "nothing of it is out anywhere");
+        } else {
+          waiting_reasons_[number] = reason;
+        }
         break;
       }
       case JobState::kEmpty:
-        if (works.is_held() || w.is_held)
-          waits_[n] = "it is held";
-        else
-          say(w, JobState::kInMaintenance, "handed over");
+        if (queue.is_held() || job.is_held) {
+          waiting_reasons_[number] = "it is held";
+        } else {
+          propose(job, JobState::kInMaintenance, "handed over");
+        }
         break;
       case JobState::kInMaintenance:
-        if (overdue(now, wall, w, w.request.duration, facts))
-          say(w, JobState::kLost, "not back in its time");
-        else
-          waits_[n] = "whoever works on it says done";
+        if (is_overdue(now, wall_time, job, job.request.duration, status)) {
+          propose(job, JobState::kLost, "not back within its stated length");
+        } else {
+          waiting_reasons_[number] = "whoever works on it says done";
+        }
         break;
       case JobState::kReturning: {
-        const auto& force = book.at(book.in_force())->rules->at_work;
-        std::string why;
-        if (holds_any(force, w.request.endpoints))
-          why = "the version that brings it back is not in force yet";
-        for (const auto& node : w.request.endpoints) {
-          if (!why.empty()) break;
-          const auto it = facts.endpoints.find(node);
-          if (it == facts.endpoints.end() || !it->second.is_ready)
-            why = node + " is not in service";
-          else if (!it->second.is_warm)
-            why = node + " is still cold";
-          // Danger: a list that has not heard of its new start tells a warm node, and a holder of the same
-          // shard is taken out beside a cold one.
-          else if (now < at.since + terms_.warm_up_time)
-            why = node + " may be cold: the list may tell of an earlier start";
+        const auto& in_force = versions.at(versions.in_force())->rules->at_work;
+        std::string reason;
+        if (holds_any(in_force, job.request.endpoints)) {
+          reason = "the version that readmits its nodes is not in force yet";
+        }
+        for (const auto& endpoint : job.request.endpoints) {
+          if (!reason.empty()) break;
+          const auto it = status.endpoints.find(endpoint);
+          if (it == status.endpoints.end() || !it->second.is_ready) {
+            reason = endpoint + " is not in service";
+          } else if (!it->second.is_warm) {
+            reason = endpoint + " is still cold";
+          } else if (now < observed.since + options_.warm_up_time) {
+            // An endpoint list from before the restart shows the endpoint as warm. If the job ended then,
+            // another replica of its shards would be taken out beside a cold one.
+            reason = endpoint + " may be cold: the endpoint list may be older than its restart";
+          }
+        }
+        for (const auto& broker : job.request.brokers) {
+          if (reason.empty() && broker != self_ && !view.live_brokers.count(broker)) {
+            reason = "broker " + broker + " is not back";
+          }
+        }
+        if (reason.empty()) {
+          propose(job, JobState::kDone, "warm and in service");
+        } else if (is_overdue(now, wall_time, job, 0, status)) {
+          propose(job, JobState::kLost, "reported as done, but " + reason);
+        } else {
+          waiting_reasons_[number] = reason;
         }
-        for (const auto& b : w.request.brokers)
-          if (why.empty() && b != self_ && !seen.live_brokers.count(b)) why = "broker " + b + " is not back";
-        if (why.empty())
-          say(w, JobState::kDone, "warm and in service");
-        else if (overdue(now, wall, w, 0, facts))
-          say(w, JobState::kLost, "said to be done, and " + why);
-        else
-          waits_[n] = why;
         break;
       }
       default:
         break;
     }
   }
-  return due;
+  return entry;
 }
 
-std::optional<shared_config::Entry> MaintenanceController::begin(
-    Time now, Time wall, const std::shared_ptr<const shared_config::Board>& board, const JobQueue& works) {
-  for (const auto& [n, w] : works.jobs())
-    if (w.state == JobState::kQueued && w.request.is_emergency && !w.is_held)
-      return move(now, wall, w, JobState::kDraining, "emergency");
-  if (works.is_held()) return std::nullopt;
-  const auto out = std::count_if(works.jobs().begin(), works.jobs().end(), [](const auto& w) {
-    return w.second.is_in_progress() && w.second.state != JobState::kLost;
+std::optional<shared_config::Entry> MaintenanceController::start_next_job(
+    Time now, Time wall_time, const std::shared_ptr<const shared_config::Board>& board,
+    const JobQueue& queue) {
+  for (const auto& [number, job] : queue.jobs()) {
+    if (job.state == JobState::kQueued && job.request.is_emergency && !job.is_held) {
+      return make_transition(now, wall_time, job, JobState::kDraining, "emergency");
+    }
+  }
+  if (queue.is_held()) return std::nullopt;
+  const auto machines_out = std::count_if(queue.jobs().begin(), queue.jobs().end(), [](const auto& entry) {
+    return entry.second.is_in_progress() && entry.second.state != JobState::kLost;
   });
-  if (out >= works.fleet_status().limits.max_machines) return std::nullopt;
-  const auto waiting = [&](std::uint64_t n) -> const Job* {
-    const auto it = works.jobs().find(n);
-    return it == works.jobs().end() || it->second.state != JobState::kQueued || it->second.is_held
+  if (machines_out >= queue.fleet_status().limits.max_machines) return std::nullopt;
+  const auto startable = [&](std::uint64_t number) -> const Job* {
+    const auto it = queue.jobs().find(number);
+    return it == queue.jobs().end() || it->second.state != JobState::kQueued || it->second.is_held
                ? nullptr
                : &it->second;
   };
-  // One that was passed by is planned again once it may begin.
-  const bool freed = std::erase_if(passed_, [&](std::uint64_t n) {
-                       const Job* w = waiting(n);
-                       if (w && !(waits_[n] = works.blocking_reason(w->request, n)).empty()) return false;
-                       return stuck_since_.erase(n), waits_.erase(n), true;
-                     }) > 0;
-  if (freed || now >= planned_at_ + kSecond || (planned_for_ != board && works.jobs().size() <= kFew))
-    planned_for_ = board, planned_at_ = now, plan_ = plan_jobs(works, wall, nullptr, passed_);
-  std::erase_if(stuck_since_, [&](const auto& s) { return !waiting(s.first); });
-  for (const PlannedJob& p : plan_) {
-    if (p.start > wall) break;
-    const Job* w = waiting(p.job);
-    if (!w) continue;
-    const std::string why = works.blocking_reason(w->request, p.job);
-    if (why.empty()) return stuck_since_.erase(p.job), move(now, wall, *w, JobState::kDraining, "its turn");
-    waits_[p.job] = why;
-    // Danger: what the plan puts after a work that may not begin, as its shard has lost a holder for good,
-    // would wait for ever; so it is passed by once it has waited for as long as it would have taken.
-    const Time since = stuck_since_.try_emplace(p.job, now).first->second;
-    if (plan_.size() > 1 && now - since >= w->request.duration + works.fleet_status().limits.transition_time)
-      passed_.insert(p.job), planned_at_ = 0;
+  // A skipped job is planned again once it may start.
+  const bool has_unblocked_job =
+      std::erase_if(skipped_, [&](std::uint64_t number) {
+        const Job* job = startable(number);
+        if (job && !(waiting_reasons_[number] = queue.blocking_reason(job->request, number)).empty()) {
+          return false;
+        }
+        blocked_since_.erase(number);
+        waiting_reasons_.erase(number);
+        return true;
+      }) > 0;
+  if (has_unblocked_job || now >= planned_at_ + kSecond ||
+      (planned_board_ != board && queue.jobs().size() <= kMaxJobsToPlanOnChange)) {
+    planned_board_ = board;
+    planned_at_ = now;
+    plan_ = plan_jobs(queue, wall_time, nullptr, skipped_);
+  }
+  std::erase_if(blocked_since_, [&](const auto& blocked) { return !startable(blocked.first); });
+  for (const PlannedJob& planned : plan_) {
+    if (planned.start > wall_time) break;
+    const Job* job = startable(planned.job);
+    if (!job) continue;
+    const std::string reason = queue.blocking_reason(job->request, planned.job);
+    if (reason.empty()) {
+      blocked_since_.erase(planned.job);
+      return make_transition(now, wall_time, *job, JobState::kDraining, "its turn");
+    }
+    waiting_reasons_[planned.job] = reason;
+    // A job whose shard has lost a replica for good never starts, and the jobs planned after it would wait
+    // for ever. So it is skipped once it has been blocked for as long as it would have taken.
+    const Time since = blocked_since_.try_emplace(planned.job, now).first->second;
+    if (plan_.size() > 1 &&
+        now - since >= job->request.duration + queue.fleet_status().limits.transition_time) {
+      skipped_.insert(planned.job);
+      planned_at_ = 0;
+    }
   }
   return std::nullopt;
 }
--- a/src/maintenance/maintenance_controller.h
+++ b/src/maintenance/maintenance_controller.h
@@ -1,14 +1,21 @@
-// The course of works, as the leader conducts it: what to say next in the log. No I/O and no clock.
+// Drives maintenance jobs at the leader.
 //
-// A machine is taken out in this order, each step waiting for the one before:
-//   1. the common ground is narrowed by its nodes, while the work still waits for its turn where that can be:
-//   who
-//      loses its lease sends them nothing
-//   2. a version is made without them: once it is in force, nobody who holds a lease sends them anything
-//   3. every broker says that nothing of it is out there; of one whose lease has lapsed it is so once the
-//      longest send there is has had its time, as it can have begun none since 2
-//   4. brokers on the machine give up their votes and the lead, and leave
-// Only then is it empty, and handed over. What is put back goes the other way: version, then ground.
+// Decides: the next entry to propose to the shared log: a new fleet status, a change of the endpoints that
+// the rules exclude, or a job's transition.
+//
+// Inputs: the replicated versions and job queue, the leader's view of the fleet, and the brokers' reports of
+// open attempts. No I/O and no clock.
+//
+// A machine is drained in steps, each of which waits for the one before:
+//   1. The baseline rules exclude its endpoints, so that a broker that loses its lease sends them nothing.
+//      Where possible this happens while the job is still queued.
+//   2. A new version of the rules excludes them. Once it is in force, no broker that holds a lease sends
+//      them anything.
+//   3. Every broker reports that it has no open attempts there. A broker whose lease has expired counts as
+//      done once the longest attempt has had its time, as it cannot have begun one after step 2.
+//   4. Brokers on the machine hand over leadership and their votes, and stop.
+// Only then is the machine empty and handed over. To bring it back, the version changes first, then the
+// baseline.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -16,6 +23,7 @@
 #include <optional>
 #include <set>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "maintenance/job_queue.h"
@@ -26,92 +34,104 @@
 namespace cairnhub::maintenance {
 
 struct MaintenanceControllerOptions {
-  Time check_interval = kSecond / 10;  // between two looks
-  Time status_interval = kSecond / 4;  // between two sayings of what is seen
-  Time max_attempt_time = 0;           // a part is out no longer
-  Time warm_up_time = 0;               // a node that has started is cold for so long
-  double max_clock_drift = 0.01;
-  double min_load_change_share = 0.2;  // a change of a zone's load that is worth saying
+  Time check_interval = kSecond / 10;
+  Time status_interval = kSecond / 4;  // between two fleet statuses, at least
+  Time max_attempt_time = 0;           // no attempt is open for longer
+  Time warm_up_time = 0;               // an endpoint is cold for this long after its start
+  double max_clock_drift = 0.01;       // of a clock's rate
+  // A zone's load or capacity is sent again when it has changed by more than this share.
+  double min_load_change_share = 0.2;
 };
 
-// What a broker says of nodes that are out: how many of its sends are still there.
+// A broker's report of its open attempts at endpoints that are out.
 struct OpenAttemptsReport {
-  Time received_at = 0;                 // when it was heard
-  std::uint64_t lease_low_version = 0;  // of the lease it acted under; 0: none
+  Time received_at = 0;
+  std::uint64_t lease_low_version = 0;  // lower end of the lease it acts under; 0: none
   std::map<std::string, int> by_endpoint;
 };
 
-// What the leader sees beside the log.
+// What the leader knows beside the log.
 struct LeaderView {
-  FleetStatus fleet_status;  // terms included
-  std::map<std::string, shared_config::Leases::Held> leases;
-  std::set<std::string> live_brokers, voters;  // brokers; voters as the log has them now
+  FleetStatus fleet_status;
+  std::map<std::string, shared_config::Leases::Held> leases;  // by broker
+  std::set<std::string> live_brokers;
+  std::set<std::string> voters;  // as the log has them now
 };
 
 class MaintenanceController {
  public:
-  MaintenanceController(const MaintenanceControllerOptions& terms, std::string self)
-      : terms_(terms), self_(std::move(self)) {}
+  // @param self  name of this broker
+  MaintenanceController(const MaintenanceControllerOptions& options, std::string self)
+      : options_(options), self_(std::move(self)) {}
+
+  Time next_check_at() const { return next_check_at_; }
+  void schedule_next_check(Time now) { next_check_at_ = now + options_.check_interval; }
+
+  void record_report(Time now, const std::string& from, OpenAttemptsReport report);
+  void forget_broker(const std::string& broker) { reports_.erase(broker); }
 
-  Time next_check_at() const { return next_; }
-  void record_report(Time now, const std::string& from, OpenAttemptsReport clear);
-  void forget_broker(const std::string& broker) { clears_.erase(broker); }
-  // Where this broker leads, at every look: what to propose, if anything; then told how it ended. What was
-  // taken may make the next thing due at once; what was refused waits for the next look.
-  std::optional<shared_config::Entry> next_entry(Time now, Time wall, const shared_config::Versions& book,
-                                                 const LeaderView& seen);
-  void record_proposal_result(bool taken) {
-    out_ = false;
-    if (taken) next_ = 0;
+  // At the leader, at each check: the entry to propose, if any. The caller reports the result below; until
+  // then no other entry is returned.
+  // @param wall_time  nanoseconds since 1970
+  std::optional<shared_config::Entry> next_entry(Time now, Time wall_time,
+                                                 const shared_config::Versions& versions,
+                                                 const LeaderView& view);
+  // An accepted entry may make the next one due at once; after a refused one the next check decides.
+  void record_proposal_result(bool is_accepted) {
+    has_pending_proposal_ = false;
+    if (is_accepted) next_check_at_ = 0;
   }
   void stop_leading();
-  void schedule_next_check(Time now) { next_ = now + terms_.check_interval; }
 
-  // Brokers of machines that are being taken out, and of them those that are to leave now.
-  std::set<std::string> retiring_brokers(const JobQueue& works) const;
-  const std::set<std::string>& brokers_to_stop() const { return stand_down_; }
-  // All that its further way depends on, spans counted from `now`, for the exhaustive check.
+  // Brokers on machines that are being taken out.
+  std::set<std::string> retiring_brokers(const JobQueue& queue) const;
+  // Those that must stop now.
+  const std::set<std::string>& brokers_to_stop() const { return brokers_to_stop_; }
+  // Appends all that later decisions depend on, with times relative to `now`, for the exhaustive test.
   void append_state(Time now, std::string& into) const;
-  // By work under way: what its next step waits for.
-  const std::map<std::uint64_t, std::string>& waiting_reasons() const { return waits_; }
+  // What the next transition waits for, by job number.
+  const std::map<std::uint64_t, std::string>& waiting_reasons() const { return waiting_reasons_; }
 
  private:
-  shared_config::Entry entry(shared_config::Entry::Kind kind, Time now, const std::string& why);
-  shared_config::Entry move(Time now, Time wall, const Job& work, JobState to, const std::string& why);
-  std::optional<shared_config::Entry> withhold(Time now, const shared_config::Versions& book,
-                                               const JobQueue& works);
-  std::optional<shared_config::Entry> advance(Time now, Time wall, const shared_config::Versions& book,
-                                              const JobQueue& works, const LeaderView& seen);
-  std::optional<shared_config::Entry> begin(Time now, Time wall,
-                                            const std::shared_ptr<const shared_config::Board>& board,
-                                            const JobQueue& works);
-  bool overdue(Time now, Time wall, const Job& work, Time length, const FleetStatus& facts);
-  std::string not_clear(Time now, const Job& work, const shared_config::Versions& book,
-                        const LeaderView& seen);
-  bool worth_saying(const FleetStatus& said, const FleetStatus& seen) const;
+  shared_config::Entry make_entry(shared_config::Entry::Kind kind, Time now, const std::string& reason);
+  shared_config::Entry make_transition(Time now, Time wall_time, const Job& job, JobState to,
+                                       const std::string& reason);
+  std::optional<shared_config::Entry> exclude_endpoints(Time now, const shared_config::Versions& versions,
+                                                        const JobQueue& queue);
+  std::optional<shared_config::Entry> advance_jobs(Time now, Time wall_time,
+                                                   const shared_config::Versions& versions,
+                                                   const JobQueue& queue, const LeaderView& view);
+  std::optional<shared_config::Entry> start_next_job(Time now, Time wall_time,
+                                                     const std::shared_ptr<const shared_config::Board>& board,
+                                                     const JobQueue& queue);
+  bool is_overdue(Time now, Time wall_time, const Job& job, Time duration, const FleetStatus& status) const;
+  std::string draining_reason(Time now, const Job& job, const shared_config::Versions& versions,
+                              const LeaderView& view);
+  bool is_worth_sending(const FleetStatus& sent, const FleetStatus& current) const;
 
-  MaintenanceControllerOptions terms_;
+  MaintenanceControllerOptions options_;
   std::string self_;
-  Time next_ = 0, facts_next_ = 0;
-  bool out_ = false;  // an entry is on its way
-  std::uint64_t said_ = 0;
-  std::map<std::string, OpenAttemptsReport> clears_;  // by broker: as many as the roster
-  std::map<std::uint64_t, Time> withheld_since_;      // works: since when their nodes are surely sent nothing
-  // Works: the step that this leader sees them at, and since when. Danger: steps are stamped by wall clocks,
-  // each by whoever said it; one that is off by an hour would make a machine lost that has just come back.
-  struct At {
-    JobState step;
+  Time next_check_at_ = 0;
+  Time next_status_at_ = 0;
+  bool has_pending_proposal_ = false;
+  std::uint64_t entries_made_ = 0;
+  std::map<std::string, OpenAttemptsReport> reports_;  // by broker; at most as many as may be enlisted
+  std::map<std::uint64_t, Time> excluded_since_;       // by job: when its endpoints were surely excluded
+  // By job: its state, and since when this leader has seen it in that state. The times in the log come from
+  // the wall clocks of whoever proposed the transitions; with one that is an hour off, a machine that has
+  // just returned would be declared lost.
+  struct ObservedState {
+    JobState state;
     Time since;
   };
-  std::map<std::uint64_t, At> seen_at_;
-  std::map<std::uint64_t, std::string> waits_;
-  std::set<std::string> stand_down_;
-  // The plan is made anew when the works have changed, and each second for the time that has passed.
-  std::shared_ptr<const shared_config::Board> planned_for_;
+  std::map<std::uint64_t, ObservedState> observed_states_;
+  std::map<std::uint64_t, std::string> waiting_reasons_;
+  std::set<std::string> brokers_to_stop_;
+  // The plan is made anew when the queue has changed, and each second for the time that has passed.
+  std::shared_ptr<const shared_config::Board> planned_board_;
   Time planned_at_ = 0;
-  // Works whose turn has come and that may not begin: since when; and of them those that others pass by.
-  std::map<std::uint64_t, Time> stuck_since_;
-  std::set<std::uint64_t> passed_;
+  std::map<std::uint64_t, Time> blocked_since_;  // jobs that are due and may not start
+  std::set<std::uint64_t> skipped_;              // those of them that the plan leaves out
   std::vector<PlannedJob> plan_;
 };
 
--- a/tests/works.cpp
+++ b/tests/works.cpp
@@ -1,10 +1,9 @@
-// Every order of events of a small model of one work: brokers that renew leases, send parts to a node and see
-// them end, or stand still; a leader that conducts a work on that node, and may be followed by another that
-// knows the log alone. Messages come late, in any order, or never. The classes of the program themselves are
-// driven. In every state in which the machine is handed over nothing is out at it, and nobody would send it
-// anything.
+// Exhaustive check of a small model of one maintenance job: brokers that renew leases, open attempts at an
+// endpoint and see them end, or do nothing; a leader that drains the endpoint and may be replaced by one that
+// knows the log alone. Messages arrive late, in any order, or never. The model drives the production classes.
+// In every state in which the machine is handed over, no attempt is open there and no broker would open one.
 //
-// `works break N` takes defence N out and must find a state where that doesn't hold.
+// `works break N` removes defence N and must find a state where the property doesn't hold.
 #include <cstdio>
 #include <cstdlib>
 #include <map>
@@ -20,201 +19,246 @@
 
 namespace {
 
-constexpr std::size_t kBrokersMost = 2;
-constexpr std::size_t kOnTheirWay = 1;  // messages; each may be lost
-constexpr Time kLongest = 2;            // that a part is out
-const std::string kNames[kBrokersMost] = {"x", "y"};
+constexpr std::size_t kMaxBrokers = 2;
+constexpr std::size_t kMaxMessagesInFlight = 1;  // each may be lost
+constexpr Time kMaxAttemptTime = 2;
+const std::string kBrokerNames[kMaxBrokers] = {"x", "y"};
 const std::set<std::string> kVoters{"v1"};
-std::size_t brokers = 1;
-int askings = 4, sends = 1, leaders = 0;
+std::size_t broker_count = 1;
+int max_lease_requests = 4;
+int max_attempts = 1;
+int max_leader_changes = 0;
 Time end_at = 5;
-int broken = 0;
+int removed_defence = 0;
 
 LeaseTerms lease_terms() {
-  LeaseTerms t;
-  t.stated = 4, t.drift = 0;  // a span of 2 steps
-  return t;
+  LeaseTerms terms;
+  terms.stated = 4;  // a span of 2 steps
+  terms.drift = 0;
+  return terms;
 }
-maintenance::MaintenanceControllerOptions conduct_terms() {
-  maintenance::MaintenanceControllerOptions t;
-  t.max_attempt_time = broken == 2 ? 0 : kLongest, t.max_clock_drift = 0, t.status_interval = 0;
-  return t;
+maintenance::MaintenanceControllerOptions controller_options() {
+  maintenance::MaintenanceControllerOptions options;
+  options.max_attempt_time = removed_defence == 2 ? 0 : kMaxAttemptTime;
+  options.max_clock_drift = 0;
+  options.status_interval = 0;
+  return options;
 }
-maintenance::FleetStatus facts() {
-  maintenance::FleetStatus f;
-  f.ring_size = 2, f.replicas_per_shard = 2, f.limits.min_warm_replicas = 1;
-  f.limits.min_zone_share_in_service = 0, f.limits.transition_time = 0;
-  f.endpoints["n"] = {0, "", true, true}, f.endpoints["m"] = {1, "", true, true};
-  return f;
+maintenance::FleetStatus fleet_status() {
+  maintenance::FleetStatus status;
+  status.ring_size = 2;
+  status.replicas_per_shard = 2;
+  status.limits.min_warm_replicas = 1;
+  status.limits.min_zone_share_in_service = 0;
+  status.limits.transition_time = 0;
+  status.endpoints["n"] = {0, "", true, true};
+  status.endpoints["m"] = {1, "", true, true};
+  return status;
 }
 
-// Books by number, so that states are told apart by it: the same entries lead to the same book.
-std::vector<Versions> books;
-int book_after(int book, Entry e) {
-  static std::map<std::pair<int, std::string>, int> known;
+// Histories by number, so that a state's key holds a number: equal histories have the same one.
+std::vector<Versions> histories;
+int history_after(int history, Entry entry) {
+  static std::map<std::pair<int, std::string>, int> by_entry;
   static std::map<std::string, int> by_content;
-  e.id.clear(), e.why.clear();  // names of entries are no state
-  const auto [it, fresh] = known.try_emplace({book, encode(e)}, 0);
-  if (!fresh) return it->second;
-  Versions next = books[static_cast<std::size_t>(book)];
-  next.apply(e);
-  const auto [at, new_one] = by_content.try_emplace(next.snapshot(), static_cast<int>(books.size()));
-  if (new_one) books.push_back(std::move(next));
+  // Not part of the state.
+  entry.id.clear();
+  entry.why.clear();
+  const auto [it, is_new_entry] = by_entry.try_emplace({history, encode(entry)}, 0);
+  if (!is_new_entry) return it->second;
+  Versions next = histories[static_cast<std::size_t>(history)];
+  next.apply(entry);
+  const auto [at, is_new_history] =
+      by_content.try_emplace(next.snapshot(), static_cast<int>(histories.size()));
+  if (is_new_history) histories.push_back(std::move(next));
   return it->second = at->second;
 }
 
 struct State {
   Time now = 1;
-  int book = 0;
-  std::vector<Holder> holders{brokers, Holder(lease_terms(), Rules{})};
-  int asked[kBrokersMost] = {0, 0}, sent[kBrokersMost] = {0, 0};
-  Time out_since[kBrokersMost] = {0, 0};  // a part at the node; 0: none
+  int history = 0;
+  std::vector<Holder> holders{broker_count, Holder(lease_terms(), Rules{})};
+  int lease_requests[kMaxBrokers] = {0, 0};
+  int attempts[kMaxBrokers] = {0, 0};
+  Time open_since[kMaxBrokers] = {0, 0};  // an attempt at the endpoint; 0: none
   Leases leader{lease_terms()};
-  maintenance::MaintenanceController conduct{conduct_terms(), "v1"};
-  int leaders_gone = 0;
-  std::uint64_t force = 0, force_ground = 0;  // decided by the leader, not yet committed
-  std::optional<Entry> said;                  // by the conduct, not yet committed
+  maintenance::MaintenanceController controller{controller_options(), "v1"};
+  int leader_changes = 0;
+  // Decided by the leader, not yet committed.
+  std::uint64_t version_to_force = 0;
+  std::uint64_t baseline_to_force = 0;
+  std::optional<Entry> proposed;  // by the controller, not yet committed
   std::vector<std::pair<int, Ask>> asks;
   std::vector<std::pair<int, Grant>> grants;
-  std::vector<std::pair<int, maintenance::OpenAttemptsReport>> clears;
+  std::vector<std::pair<int, maintenance::OpenAttemptsReport>> reports;
 
-  const Versions& versions() const { return books[static_cast<std::size_t>(book)]; }
-  const maintenance::Job& work() const {
+  const Versions& versions() const { return histories[static_cast<std::size_t>(history)]; }
+  const maintenance::Job& job() const {
     return static_cast<const maintenance::JobQueue&>(*versions().board()).jobs().begin()->second;
   }
-  std::size_t under_way() const { return asks.size() + grants.size() + clears.size(); }
-  bool allowed(std::size_t i) const {  // to send to the node, as the broker looks at its clock
-    // Without the look it goes on under the lease that it held last.
-    const Time at = broken == 3 && holders[i].until() > 0 ? std::min(now, holders[i].until() - 1) : now;
-    return holders[i].acting(at)->rules->at_work.count("n") == 0;
+  std::size_t messages_in_flight() const { return asks.size() + grants.size() + reports.size(); }
+  // Whether the broker may open an attempt at the endpoint.
+  bool may_send(std::size_t broker) const {
+    // Without defence 3 the broker doesn't look at its clock and acts on under its last lease.
+    const Time at = removed_defence == 3 && holders[broker].until() > 0
+                        ? std::min(now, holders[broker].until() - 1)
+                        : now;
+    return holders[broker].acting(at)->rules->at_work.count("n") == 0;
   }
   std::string key() const {
-    std::string k = std::to_string(now) + ' ' + std::to_string(book) + ' ' + std::to_string(force) + ' ' +
-                    std::to_string(force_ground) + ' ' + std::to_string(leaders_gone);
-    for (std::size_t i = 0; i < brokers; ++i) {
-      k += ' ' + std::to_string(asked[i]) + std::to_string(sent[i]) + std::to_string(out_since[i]) +
-           text_of(holders[i].grounded());
-      holders[i].describe(now, k);
+    std::string key = std::to_string(now) + ' ' + std::to_string(history) + ' ' +
+                      std::to_string(version_to_force) + ' ' + std::to_string(baseline_to_force) + ' ' +
+                      std::to_string(leader_changes);
+    for (std::size_t i = 0; i < broker_count; ++i) {
+      key += ' ' + std::to_string(lease_requests[i]) + std::to_string(attempts[i]) +
+             std::to_string(open_since[i]) + text_of(holders[i].grounded());
+      holders[i].describe(now, key);
     }
-    leader.describe(now, k);
-    conduct.append_state(now, k);
-    if (said) k += encode(*said);
-    for (const auto& [i, a] : asks)
-      k += 'a' + std::to_string(i) + ' ' + std::to_string(a.sequence) + ' ' + std::to_string(a.taken) + ' ' +
-           std::to_string(a.have) + ' ' + std::to_string(a.ground) + ' ' + std::to_string(a.settled);
-    for (const auto& [i, g] : grants)
-      k += 'g' + std::to_string(i) + ' ' + std::to_string(g.sequence) + ' ' + std::to_string(g.low) + ' ' +
-           std::to_string(g.high) + ' ' + std::to_string(g.ground ? g.ground->number : 0) + ' ' +
-           std::to_string(g.ground_next ? g.ground_next->number : 0) + ' ' +
-           std::to_string(g.versions.size());
-    for (const auto& [i, c] : clears)
-      k += 'c' + std::to_string(i) + ' ' + std::to_string(c.lease_low_version) + ' ' +
-           std::to_string(c.by_endpoint.at("n"));
-    return k;
+    leader.describe(now, key);
+    controller.append_state(now, key);
+    if (proposed) key += encode(*proposed);
+    for (const auto& [broker, ask] : asks) {
+      key += 'a' + std::to_string(broker) + ' ' + std::to_string(ask.sequence) + ' ' +
+             std::to_string(ask.taken) + ' ' + std::to_string(ask.have) + ' ' + std::to_string(ask.ground) +
+             ' ' + std::to_string(ask.settled);
+    }
+    for (const auto& [broker, grant] : grants) {
+      key += 'g' + std::to_string(broker) + ' ' + std::to_string(grant.sequence) + ' ' +
+             std::to_string(grant.low) + ' ' + std::to_string(grant.high) + ' ' +
+             std::to_string(grant.ground ? grant.ground->number : 0) + ' ' +
+             std::to_string(grant.ground_next ? grant.ground_next->number : 0) + ' ' +
+             std::to_string(grant.versions.size());
+    }
+    for (const auto& [broker, report] : reports) {
+      key += 'c' + std::to_string(broker) + ' ' + std::to_string(report.lease_low_version) + ' ' +
+             std::to_string(report.by_endpoint.at("n"));
+    }
+    return key;
   }
   bool good() const {
-    if (work().state != maintenance::JobState::kInMaintenance) return true;
-    for (std::size_t i = 0; i < brokers; ++i)
-      if (out_since[i] || allowed(i)) return false;
+    if (job().state != maintenance::JobState::kInMaintenance) return true;
+    for (std::size_t i = 0; i < broker_count; ++i) {
+      if (open_since[i] || may_send(i)) return false;
+    }
     return true;
   }
 };
 
-void confirm(State& s) {
-  // The leader is the only voter here, and confirms itself at once.
-  if (const auto r = s.leader.round(s.now)) s.leader.confirmed(s.now, "v1", 1, *r, s.versions());
-  for (auto& g : s.leader.granted()) s.grants.emplace_back(g.to == "x" ? 0 : 1, std::move(g.grant));
+// The leader is the only voter here, and confirms its own round at once.
+void confirm_round(State& state) {
+  if (const auto round = state.leader.round(state.now)) {
+    state.leader.confirmed(state.now, "v1", 1, *round, state.versions());
+  }
+  for (auto& granted : state.leader.granted()) {
+    state.grants.emplace_back(granted.to == "x" ? 0 : 1, std::move(granted.grant));
+  }
 }
 
-std::vector<State> after(const State& s) {
+std::vector<State> states_after(const State& state) {
   std::vector<State> all;
-  const auto next = [&]() -> State& { return all.emplace_back(s); };
-  if (s.now < end_at) {
-    State& n = next();
-    ++n.now;
-    // The node gives a part up when its time is over, whatever its broker does.
-    for (std::size_t i = 0; i < brokers; ++i)
-      if (n.out_since[i] && n.now >= n.out_since[i] + kLongest) n.out_since[i] = 0;
+  const auto add_next = [&]() -> State& { return all.emplace_back(state); };
+  if (state.now < end_at) {
+    State& next = add_next();
+    ++next.now;
+    // The endpoint drops an attempt when its time is over, whatever the broker does.
+    for (std::size_t i = 0; i < broker_count; ++i) {
+      if (next.open_since[i] && next.now >= next.open_since[i] + kMaxAttemptTime) next.open_since[i] = 0;
+    }
   }
-  for (std::size_t i = 0; i < brokers; ++i) {
-    if (s.asked[i] < askings && s.under_way() < kOnTheirWay) {
-      State& n = next();
-      ++n.asked[i];
-      n.asks.emplace_back(static_cast<int>(i), n.holders[i].ask(n.now));
+  for (std::size_t i = 0; i < broker_count; ++i) {
+    if (state.lease_requests[i] < max_lease_requests && state.messages_in_flight() < kMaxMessagesInFlight) {
+      State& next = add_next();
+      ++next.lease_requests[i];
+      next.asks.emplace_back(static_cast<int>(i), next.holders[i].ask(next.now));
     }
-    if (s.sent[i] < sends && !s.out_since[i] && s.allowed(i)) {
-      State& n = next();
-      ++n.sent[i], n.out_since[i] = n.now;
+    if (state.attempts[i] < max_attempts && !state.open_since[i] && state.may_send(i)) {
+      State& next = add_next();
+      ++next.attempts[i];
+      next.open_since[i] = next.now;
     }
-    if (s.out_since[i]) next().out_since[i] = 0;
-    // What it says of the node, under the lease it acts on at this moment.
-    const auto& acting = *s.holders[i].acting(s.now);
-    if (acting.low && acting.rules->at_work.count("n") && s.under_way() < kOnTheirWay) {
-      State& n = next();
-      maintenance::OpenAttemptsReport c;
-      c.lease_low_version = acting.low, c.by_endpoint["n"] = broken == 1 ? 0 : n.out_since[i] != 0;
-      n.clears.emplace_back(static_cast<int>(i), c);
+    if (state.open_since[i]) add_next().open_since[i] = 0;
+    // A report of open attempts, under the lease that the broker acts on at this moment.
+    const auto& acting = *state.holders[i].acting(state.now);
+    if (acting.low && acting.rules->at_work.count("n") && state.messages_in_flight() < kMaxMessagesInFlight) {
+      State& next = add_next();
+      maintenance::OpenAttemptsReport report;
+      report.lease_low_version = acting.low;
+      report.by_endpoint["n"] = removed_defence == 1 ? 0 : next.open_since[i] != 0;
+      next.reports.emplace_back(static_cast<int>(i), report);
     }
   }
-  const auto without = [](auto& list, std::size_t m) {
-    list.erase(list.begin() + static_cast<std::ptrdiff_t>(m));
+  const auto erase_at = [](auto& list, std::size_t index) {
+    list.erase(list.begin() + static_cast<std::ptrdiff_t>(index));
   };
-  for (std::size_t m = 0; m < s.asks.size(); ++m) {
-    without(next().asks, m);
-    State& n = next();
-    const auto [i, ask] = n.asks[m];
-    without(n.asks, m);
-    n.leader.asked(n.now, kNames[i], ask);
-    confirm(n);
+  // Each message is lost in one next state and arrives in another.
+  for (std::size_t m = 0; m < state.asks.size(); ++m) {
+    erase_at(add_next().asks, m);
+    State& next = add_next();
+    const auto [broker, ask] = next.asks[m];
+    erase_at(next.asks, m);
+    next.leader.asked(next.now, kBrokerNames[broker], ask);
+    confirm_round(next);
   }
-  for (std::size_t m = 0; m < s.grants.size(); ++m) {
-    without(next().grants, m);
-    State& n = next();
-    const auto [i, grant] = n.grants[m];
-    without(n.grants, m);
-    n.holders[static_cast<std::size_t>(i)].answered(n.now, grant);
+  for (std::size_t m = 0; m < state.grants.size(); ++m) {
+    erase_at(add_next().grants, m);
+    State& next = add_next();
+    const auto [broker, grant] = next.grants[m];
+    erase_at(next.grants, m);
+    next.holders[static_cast<std::size_t>(broker)].answered(next.now, grant);
   }
-  for (std::size_t m = 0; m < s.clears.size(); ++m) {
-    without(next().clears, m);
-    State& n = next();
-    const auto [i, clear] = n.clears[m];
-    without(n.clears, m);
-    n.conduct.record_report(n.now, kNames[i], clear);
+  for (std::size_t m = 0; m < state.reports.size(); ++m) {
+    erase_at(add_next().reports, m);
+    State& next = add_next();
+    const auto [broker, report] = next.reports[m];
+    erase_at(next.reports, m);
+    next.controller.record_report(next.now, kBrokerNames[broker], report);
   }
-  const auto decided = [&](Entry::Kind kind, std::uint64_t number) {
-    Entry e;
-    e.kind = kind, e.number = number;
-    return book_after(s.book, e);
+  const auto history_with = [&](Entry::Kind kind, std::uint64_t number) {
+    Entry entry;
+    entry.kind = kind;
+    entry.number = number;
+    return history_after(state.history, entry);
   };
-  if (!s.force)
-    if (const auto f = s.leader.may_force(s.now, s.versions())) next().force = f;
-  if (s.force) {
-    State& n = next();
-    n.book = decided(Entry::Kind::force, s.force), n.force = 0;
+  if (!state.version_to_force) {
+    if (const auto version = state.leader.may_force(state.now, state.versions())) {
+      add_next().version_to_force = version;
+    }
+  }
+  if (state.version_to_force) {
+    State& next = add_next();
+    next.history = history_with(Entry::Kind::force, state.version_to_force);
+    next.version_to_force = 0;
   }
-  if (!s.force_ground && s.versions().ground_next() && s.leader.may_force_ground(s.versions()))
-    next().force_ground = s.versions().ground_next()->number;
-  if (s.force_ground) {
-    State& n = next();
-    n.book = decided(Entry::Kind::force_ground, s.force_ground), n.force_ground = 0;
+  if (!state.baseline_to_force && state.versions().ground_next() &&
+      state.leader.may_force_ground(state.versions())) {
+    add_next().baseline_to_force = state.versions().ground_next()->number;
   }
-  if (!s.said) {
-    State& n = next();
-    maintenance::LeaderView seen;
-    seen.fleet_status = facts(), seen.leases = n.leader.held();
-    n.said = n.conduct.next_entry(n.now, 0, n.versions(), seen);
-    if (!n.said && n.key() == s.key()) all.pop_back();
+  if (state.baseline_to_force) {
+    State& next = add_next();
+    next.history = history_with(Entry::Kind::force_ground, state.baseline_to_force);
+    next.baseline_to_force = 0;
+  }
+  if (!state.proposed) {
+    State& next = add_next();
+    maintenance::LeaderView view;
+    view.fleet_status = fleet_status();
+    view.leases = next.leader.held();
+    next.proposed = next.controller.next_entry(next.now, 0, next.versions(), view);
+    if (!next.proposed && next.key() == state.key()) all.pop_back();
   } else {
-    State& n = next();
-    n.book = book_after(n.book, *n.said), n.said.reset();
-    n.conduct.record_proposal_result(true);
+    State& next = add_next();
+    next.history = history_after(next.history, *next.proposed);
+    next.proposed.reset();
+    next.controller.record_proposal_result(true);
   }
-  if (s.leaders_gone < leaders) {  // another leads, and knows the log alone
-    State& n = next();
-    ++n.leaders_gone, n.said.reset(), n.force = n.force_ground = 0;
-    n.conduct = maintenance::MaintenanceController(conduct_terms(), "v1");
-    n.leader = Leases(lease_terms());
-    n.leader.leads(n.now, 1, kVoters, "v1");
+  if (state.leader_changes < max_leader_changes) {
+    State& next = add_next();
+    ++next.leader_changes;
+    next.proposed.reset();
+    next.version_to_force = next.baseline_to_force = 0;
+    next.controller = maintenance::MaintenanceController(controller_options(), "v1");
+    next.leader = Leases(lease_terms());
+    next.leader.leads(next.now, 1, kVoters, "v1");
   }
   return all;
 }
@@ -223,39 +267,48 @@
 
 int main(int argc, char** argv) {
   if (argc > 2 && std::string(argv[1]) == "break") {
-    broken = std::atoi(argv[2]);
+    removed_defence = std::atoi(argv[2]);
   } else if (argc > 5) {
-    brokers = static_cast<std::size_t>(std::atoi(argv[1]));
-    askings = std::atoi(argv[2]), sends = std::atoi(argv[3]), leaders = std::atoi(argv[4]);
+    broker_count = static_cast<std::size_t>(std::atoi(argv[1]));
+    max_lease_requests = std::atoi(argv[2]);
+    max_attempts = std::atoi(argv[3]);
+    max_leader_changes = std::atoi(argv[4]);
     end_at = std::atoll(argv[5]);
   }
-  books.emplace_back(std::make_shared<maintenance::JobQueue>());
+  histories.emplace_back(std::make_shared<maintenance::JobQueue>());
   State first;
-  const auto begun = [&](Entry e) { first.book = book_after(first.book, std::move(e)); };
-  for (std::size_t i = 0; i < brokers; ++i) {
-    Entry e;
-    e.kind = Entry::Kind::enlist, e.name = kNames[i];
-    begun(e);
+  const auto commit = [&](Entry entry) { first.history = history_after(first.history, std::move(entry)); };
+  for (std::size_t i = 0; i < broker_count; ++i) {
+    Entry entry;
+    entry.kind = Entry::Kind::enlist;
+    entry.name = kBrokerNames[i];
+    commit(entry);
   }
-  Entry e;
-  e.kind = Entry::Kind::board;
-  maintenance::JobOperation op;
-  op.fleet_status = facts();
-  e.text = maintenance::encode_operation(op);
-  begun(e);
-  op.fleet_status.reset();
-  op.request.emplace();
-  op.request->machine = "machine", op.request->endpoints = {"n"}, op.request->duration = kSecond;
-  e.text = maintenance::encode_operation(op);
-  begun(e);
+  Entry entry;
+  entry.kind = Entry::Kind::board;
+  maintenance::JobOperation operation;
+  operation.fleet_status = fleet_status();
+  entry.text = maintenance::encode_operation(operation);
+  commit(entry);
+  operation.fleet_status.reset();
+  operation.request.emplace();
+  operation.request->machine = "machine";
+  operation.request->endpoints = {"n"};
+  operation.request->duration = kSecond;
+  entry.text = maintenance::encode_operation(operation);
+  commit(entry);
   first.leader.leads(first.now - lease_terms().span(), 1, kVoters, "v1");
-  bool handed = false, by_word = false, by_time = false;
-  const Explored all = explore(first, true, after, [&](const State& s) {
-    if (s.work().state != maintenance::JobState::kInMaintenance) return;
-    handed = true;
-    for (std::size_t i = 0; i < brokers; ++i) (s.holders[i].until() > s.now ? by_word : by_time) = true;
+  bool was_handed_over = false;
+  bool with_lease = false;
+  bool without_lease = false;
+  const Explored all = explore(first, true, states_after, [&](const State& state) {
+    if (state.job().state != maintenance::JobState::kInMaintenance) return;
+    was_handed_over = true;
+    for (std::size_t i = 0; i < broker_count; ++i) {
+      (state.holders[i].until() > state.now ? with_lease : without_lease) = true;
+    }
   });
-  if (broken) {
+  if (removed_defence) {
     std::printf("with a defence out: %s\n",
                 all.broken.empty() ? "NOTHING found" : "something reaches a machine at work");
     return all.broken.empty() ? 1 : 0;
@@ -269,6 +322,6 @@
       "anything\n",
       all.states, static_cast<unsigned long long>(all.ways));
   std::printf("handed over: %s; while a broker holds a lease: %s, and while it holds none: %s\n",
-              handed ? "yes" : "NO", by_word ? "yes" : "NO", by_time ? "yes" : "NO");
-  return handed ? 0 : 1;
+              was_handed_over ? "yes" : "NO", with_lease ? "yes" : "NO", without_lease ? "yes" : "NO");
+  return was_handed_over ? 0 : 1;
 }
