--- a/src/dispatch/backend.h
+++ b/src/dispatch/backend.h
@@ -1,5 +1,5 @@
-// The sending stage as the core sees it: whatever protocol nodes speak stands behind this. Says of each send
-// how it ended and how far it had come.
+// Interface to the protocol that endpoints speak. A backend sends attempts and reports for each of them how
+// it ended and how much of it had been written.
 #pragma once
 #include <functional>
 #include <string>
@@ -11,48 +11,51 @@
 
 namespace cairnhub::dispatch {
 
-// How far a send had come when it ended. Only one wholly written can have run.
+// How much of an attempt had been written when it ended. Only a fully written one can have run.
 enum class WriteProgress { kNotConnected, kPartlyWritten, kFullyWritten };
 
-// `spoilt`: its connection was closed from this side, as the node had sent what can't be used there.
 enum class AttemptEnd {
   kReturned,
   kError,
   kQueueFull,
   kConnectionLost,
-  kInvalidResponse,
+  kInvalidResponse,  // the broker closed the connection, because of what the endpoint sent on it
   kTimedOut,
-  kCancelled
+  kCancelled,
 };
 
 struct AttemptResult {
   AttemptEnd end;
   WriteProgress write_progress;
-  std::string_view value;  // of one that returned
+  std::string_view value;  // kReturned only
 };
 
 class Backend {
  public:
   virtual ~Backend() = default;
-  // Who counts bytes is told of them; nobody: they aren't counted.
+  // Sets the function that is told of the bytes exchanged with endpoints. Without one, bytes aren't counted.
   using ByteCounter = std::function<void(const TransferredBytes&)>;
-  virtual void set_byte_counter(ByteCounter count) { byte_counter_ = std::move(count); }
-  // Asked before what waited for a connection is written. Danger: a process that stood still goes on with its
-  // connection up, and would send what it may no longer.
-  virtual void set_before_write(std::function<void()> look) { before_write_ = std::move(look); }
-  // Closes connections to a node that carry nothing; what the kernel still holds of them goes nowhere.
+  virtual void set_byte_counter(ByteCounter counter) { byte_counter_ = std::move(counter); }
+  // Sets the function called before attempts that waited for a connection are written. A process that was
+  // suspended finds its connections still up when it resumes, and would otherwise send what it may not send
+  // any more.
+  virtual void set_before_write(std::function<void()> before_write) {
+    before_write_ = std::move(before_write);
+  }
+  // Closes the connections to the endpoint that carry nothing, and discards what the kernel has still queued
+  // on them.
   virtual void close_idle_connections(EndpointId id) = 0;
-  // Told each end, exactly once for each send; it must only note it down.
+  // Called exactly once for each attempt; it may only record the result.
   using AttemptEnded = std::function<void(Attempt&, const AttemptResult&)>;
 
-  // What the list says of a node; `name` is for the log.
+  // Adds an endpoint, or updates it as the endpoint list states. @param name for the log
   virtual void update_endpoint(EndpointId id, const std::string& name, const Address& address,
                                EndpointState state) = 0;
-  virtual void forget_endpoint(EndpointId id) = 0;  // one of which nothing is out
+  virtual void forget_endpoint(EndpointId id) = 0;  // one without attempts in flight
   virtual void send(Attempt& attempt, EndpointId to) = 0;
   virtual void cancel(Attempt& attempt) = 0;
-  virtual void cancel_unwritten(Attempt& attempt) = 0;  // gives it up if nothing of it is begun
-  virtual void flush() = 0;                             // what was sent this turn goes out
+  virtual void cancel_unwritten(Attempt& attempt) = 0;  // cancels it unless its writing has begun
+  virtual void flush() = 0;                             // writes what was sent in this turn
 
  protected:
   ByteCounter byte_counter_;
--- a/src/dispatch/config.cpp
+++ b/src/dispatch/config.cpp
@@ -9,23 +9,31 @@
 
 namespace {
 
-const nlohmann::json& member(const nlohmann::json& in, const char* name) {
-  const auto it = in.is_object() ? in.find(name) : in.end();
-  if (it == in.end()) throw std::runtime_error(std::string("configuration has no ") + name);
+constexpr std::size_t kMinMemoryMb = 16;
+constexpr std::size_t kMinSockets = 64;
+constexpr std::size_t kMaxCount = 1000000000;
+
+const nlohmann::json& member(const nlohmann::json& object, const char* name) {
+  const auto it = object.is_object() ? object.find(name) : object.end();
+  if (it == object.end()) throw std::runtime_error(std::string("configuration: ") + name + " is missing");
   return *it;
 }
 
-std::string text(const nlohmann::json& in, const char* name) {
-  const auto& v = member(in, name);
-  if (!v.is_string()) throw std::runtime_error(std::string("configuration: ") + name + " is not text");
-  return v.get<std::string>();
+std::string string_member(const nlohmann::json& object, const char* name) {
+  const auto& value = member(object, name);
+  if (!value.is_string())
+    throw std::runtime_error(std::string("configuration: ") + name + " is not a string");
+  return value.get<std::string>();
 }
 
-std::size_t count(const nlohmann::json& in, const char* name, std::size_t least) {
-  const auto& v = member(in, name);
-  if (!v.is_number() || v.get<double>() < static_cast<double>(least) || v.get<double>() > 1e9)
-    throw std::runtime_error(std::string("configuration: ") + name + " is out of range");
-  return static_cast<std::size_t>(v.get<double>());
+std::size_t count_member(const nlohmann::json& object, const char* name, std::size_t min) {
+  const auto& value = member(object, name);
+  if (!value.is_number() || value.get<double>() < static_cast<double>(min) ||
+      value.get<double>() > static_cast<double>(kMaxCount)) {
+    throw std::runtime_error(std::string("configuration: ") + name + " is not a number from " +
+                             std::to_string(min) + " to " + std::to_string(kMaxCount));
+  }
+  return static_cast<std::size_t>(value.get<double>());
 }
 
 }  // namespace
@@ -33,24 +41,26 @@
 Config read_config(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   if (!file) throw std::runtime_error("configuration " + path + " can't be read");
-  const std::string all{std::istreambuf_iterator<char>(file), {}};
-  const auto json = nlohmann::json::parse(all, nullptr, false);
+  const std::string text{std::istreambuf_iterator<char>(file), {}};
+  const auto json = nlohmann::json::parse(text, nullptr, false);
   if (!json.is_object()) throw std::runtime_error("configuration is not a JSON object");
-  Config c;
-  c.listen_address = text(json, "listen");
-  c.discovery_address = text(json, "discovery");
-  const std::string seed = text(json, "seed");
-  const auto [end, error] = std::from_chars(seed.data(), seed.data() + seed.size(), c.seed, 16);
-  if (error != std::errc{} || end != seed.data() + seed.size())
-    throw std::runtime_error("configuration: seed is not a number of 64 bits in hex digits");
+  Config config;
+  config.listen_address = string_member(json, "listen");
+  config.discovery_address = string_member(json, "discovery");
+  const std::string seed = string_member(json, "seed");
+  const auto [end, error] = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
+  if (error != std::errc{} || end != seed.data() + seed.size()) {
+    throw std::runtime_error("configuration: seed is not a 64-bit number in hexadecimal digits");
+  }
   const auto& limits = member(json, "limits");
-  c.memory_bytes = count(limits, "memory_mb", 16) << 20;
-  c.max_descriptors = count(limits, "sockets", 64);
+  config.memory_bytes = count_member(limits, "memory_mb", kMinMemoryMb) << 20;
+  config.max_descriptors = count_member(limits, "sockets", kMinSockets);
   const auto known = json.find("known");
-  if (known != json.end())
-    c.known_endpoints = known->dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
-  c.settings = settings::Settings::from_json(member(json, "settings"));
-  return c;
+  if (known != json.end()) {
+    config.known_endpoints = known->dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
+  }
+  config.settings = settings::Settings::from_json(member(json, "settings"));
+  return config;
 }
 
 }  // namespace cairnhub::dispatch
--- a/src/dispatch/config.h
+++ b/src/dispatch/config.h
@@ -1,4 +1,4 @@
-// What a broker is told at its start.
+// The configuration file that a broker reads on startup.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -8,14 +8,16 @@
 namespace cairnhub::dispatch {
 
 struct Config {
-  std::string listen_address, discovery_address;
+  std::string listen_address;
+  std::string discovery_address;
   std::uint64_t seed = 0;
-  std::size_t memory_bytes = 0, max_descriptors = 0;  // hard limits of the process
-  std::string known_endpoints;                        // the list as last held, JSON
+  std::size_t memory_bytes = 0;     // hard limit of the process
+  std::size_t max_descriptors = 0;  // likewise
+  std::string known_endpoints;      // the endpoint list as last known, JSON; may be empty
   settings::Settings settings;
 };
 
-// Throws std::runtime_error with one plain line.
+// @throws std::runtime_error with a message of one line
 Config read_config(const std::string& path);
 
 }  // namespace cairnhub::dispatch
--- a/src/dispatch/discovery_watch.h
+++ b/src/dispatch/discovery_watch.h
@@ -1,6 +1,6 @@
-// Service discovery watch: keeps the member list current with one HTTP call after another, each of which
-// waits for changes newer than the list in hand. A call that fails, or is silent for too long, is followed by
-// another on a new connection.
+// Keeps the endpoint list current by long polling the discovery agent: one HTTP request after another, each
+// of which waits for changes newer than the current list. A request that fails or isn't answered in time is
+// followed by another one on a new connection.
 #pragma once
 #include <event2/event.h>
 
@@ -17,61 +17,65 @@
 
 namespace cairnhub::dispatch {
 
-// How long calls wait, and how soon one is given up or made again.
+// How long requests wait for changes, and how soon one is abandoned or repeated.
 struct DiscoveryWatchTiming {
-  // A call for changes asks to be answered after so long at the latest; drawn anew each time.
-  Time min_wait, max_wait;
-  Time answer_timeout;  // beyond that wait
-  // Likewise of a call that follows a failed one.
-  Time wait_after_failure, answer_timeout_after_failure;
-  Time complete_list_timeout;  // of a call for the whole list, which doesn't wait
-  Time max_retry_delay;        // between failed calls
+  // The wait that a request states, drawn anew for each.
+  Time min_wait;
+  Time max_wait;
+  Time answer_timeout;  // on top of the wait
+  // The same for a request that follows a failed one.
+  Time wait_after_failure;
+  Time answer_timeout_after_failure;
+  Time complete_list_timeout;  // of a request for the complete list, which doesn't wait
+  Time max_retry_delay;        // between failed requests
 
-  // Calls cost nothing and are answered at once.
+  // For an agent of this broker's own: requests cost nothing and are answered at once.
   static DiscoveryWatchTiming pushed();
-  // One service answers all brokers, with a call from each of them every few seconds, and refuses what is
-  // more.
+  // For one service that answers all brokers: it expects a request from each of them every few seconds, and
+  // refuses more.
   static DiscoveryWatchTiming polled();
 };
 
 class DiscoveryWatch {
  public:
-  // `largest_list`: bytes of an answer. `on_update` is called after each call has ended; its argument tells
-  // whether the list was updated.
-  DiscoveryWatch(event_base* base, const std::string& discovery, DiscoveryWatchTiming timing,
-                 std::uint64_t seed, std::size_t largest_list, EndpointRegistry& members,
+  // @param max_list_bytes of an answer
+  // @param on_update called after each request has ended, with whether the list was updated
+  // @throws std::runtime_error where the address is invalid
+  DiscoveryWatch(event_base* base, const std::string& discovery_address, DiscoveryWatchTiming timing,
+                 std::uint64_t seed, std::size_t max_list_bytes, EndpointRegistry& registry,
                  std::function<void(bool)> on_update);
   ~DiscoveryWatch();
   void request_list();
-  // Follows another address from now on, beginning with its whole list.
-  void set_address(const std::string& discovery);
-  // Asks for the whole list at once, on a new connection: the list in hand is known to be behind.
+  // Follows another agent from now on, and requests its complete list first.
+  void set_address(const std::string& discovery_address);
+  // Requests the complete list at once, on a new connection: the current one is known to be out of date.
   void refresh();
   void stop();
 
  private:
-  enum class LastCall { answered, refused, failed };
+  enum class LastRequest { kAnswered, kRefused, kFailed };
 
-  void parse_discovery_address(const std::string& discovery);
+  void parse_discovery_address(const std::string& discovery_address);
   void on_answer(evhttp_request* request);
   void on_deadline();
-  void on_failure(const char* reason, LastCall how = LastCall::failed);
-  const char* take_answer(evhttp_request* request);  // what is wrong with it, or null
+  void on_failure(const char* reason, LastRequest result = LastRequest::kFailed);
+  const char* apply_answer(evhttp_request* request);  // returns its fault, or null
 
   event_base* base_;
   const DiscoveryWatchTiming timing_;
   std::string host_;
   std::uint16_t port_ = 0;
-  bool whole_list_ = false;  // moved, or known to be behind, and nothing heard since
-  LastCall last_call_ = LastCall::answered;
+  bool needs_complete_list_ = false;  // since set_address() or refresh(), until an answer comes
+  LastRequest last_request_ = LastRequest::kAnswered;
   std::mt19937 random_;
-  const std::size_t largest_list_;
-  EndpointRegistry& members_;
+  const std::size_t max_list_bytes_;
+  EndpointRegistry& registry_;
   std::function<void(bool)> on_update_;
   evhttp_connection* connection_ = nullptr;
-  Timer next_call_;
+  Timer next_request_;
   Timer deadline_;
-  Time retry_wait_ = 0, called_at_ = 0;
+  Time retry_delay_ = 0;
+  Time requested_at_ = 0;
 };
 
 }  // namespace cairnhub::dispatch
--- a/src/dispatch/endpoint_registry.cpp
+++ b/src/dispatch/endpoint_registry.cpp
@@ -11,64 +11,73 @@
 
 namespace {
 
-// Values of one list, of ten or so to an entry: ten times what the largest deployments have.
-constexpr int kMostValues = 200000;
+// JSON values in one list. An entry has about ten, and this is ten times what the largest deployments have.
+constexpr int kMaxValues = 200000;
+constexpr std::uint64_t kMaxRingPosition = 65535;
+constexpr double kMaxUpSinceMs = 9e12;  // fits Time in nanoseconds
 
-// Counts the values of a JSON text without keeping any, and stops past the most.
+// Counts the values of a JSON text without storing them, and stops past the limit.
 class ValueCounter : public nlohmann::json_sax<nlohmann::json> {
  public:
-  bool null() override { return counted(); }
-  bool boolean(bool) override { return counted(); }
-  bool number_integer(number_integer_t) override { return counted(); }
-  bool number_unsigned(number_unsigned_t) override { return counted(); }
-  bool number_float(number_float_t, const string_t&) override { return counted(); }
-  bool string(string_t&) override { return counted(); }
-  bool binary(binary_t&) override { return counted(); }
-  bool start_object(std::size_t) override { return counted(); }
+  bool null() override { return count_value(); }
+  bool boolean(bool) override { return count_value(); }
+  bool number_integer(number_integer_t) override { return count_value(); }
+  bool number_unsigned(number_unsigned_t) override { return count_value(); }
+  bool number_float(number_float_t, const string_t&) override { return count_value(); }
+  bool string(string_t&) override { return count_value(); }
+  bool binary(binary_t&) override { return count_value(); }
+  bool start_object(std::size_t) override { return count_value(); }
   bool key(string_t&) override { return true; }
   bool end_object() override { return true; }
-  bool start_array(std::size_t) override { return counted(); }
+  bool start_array(std::size_t) override { return count_value(); }
   bool end_array() override { return true; }
   bool parse_error(std::size_t, const std::string&, const nlohmann::json::exception&) override {
     return false;
   }
-  bool too_many() const { return count_ > kMostValues; }
+  bool is_over_limit() const { return count_ > kMaxValues; }
 
  private:
-  bool counted() { return ++count_ <= kMostValues; }
+  bool count_value() { return ++count_ <= kMaxValues; }
   int count_ = 0;
 };
 
-// Danger: a spoilt list of little more than brackets takes many times its length in memory once it is read,
-// and the process is killed for it. A value takes a byte at least, so that an ordinary list is read once.
-bool too_many_values(std::string_view text) {
-  if (text.size() <= kMostValues) return false;
+// A malformed list of little more than brackets takes many times its length in memory once it is parsed, for
+// which the process would be killed. A value takes at least one byte of text, so that ordinary lists, which
+// are shorter than the limit, are parsed only once.
+bool has_too_many_values(std::string_view text) {
+  if (text.size() <= kMaxValues) return false;
   ValueCounter counter;
   nlohmann::json::sax_parse(text, &counter);
-  return counter.too_many();
+  return counter.is_over_limit();
 }
 
 }  // namespace
 
 const char* EndpointRegistry::apply_list(std::string_view text) {
-  if (too_many_values(text)) return "more values than any list has";
+  if (has_too_many_values(text)) return "the list has more than 200000 JSON values";
   const auto json = nlohmann::json::parse(text, nullptr, false);
-  if (!json.is_object()) return "not a JSON object";
-  const auto revision = json.find("revision"), entries = json.find("members"),
-             complete = json.find("complete");
-  if (revision == json.end() || !revision->is_number_unsigned()) return "no revision";
-  if (entries == json.end() || !entries->is_array()) return "no members";
+  if (!json.is_object()) return "the list is not a JSON object";
+  const auto revision = json.find("revision");
+  const auto members = json.find("members");
+  const auto complete = json.find("complete");
+  if (revision == json.end() || !revision->is_number_unsigned()) {
+    return "revision is missing or not a whole number from 0 up";
+  }
+  if (members == json.end() || !members->is_array()) return "members is missing or not an array";
   if (complete != json.end() && !complete->is_boolean()) return "complete is neither true nor false";
-  const bool whole = complete == json.end() || complete->get<bool>();
-
-  std::vector<Entry> read;
-  for (const auto& e : *entries) {
-    if (!e.is_object()) return "a member is not an object";
-    const auto id = e.find("id"), at = e.find("host_port"), phase = e.find("phase"), cell = e.find("cell"),
-               up = e.find("up_since_ms");
-    if (id == e.end() || !id->is_string()) return "a member has no id";
-    if (phase == e.end() || !phase->is_string()) return "a member has no phase";
-    Entry& entry = read.emplace_back();
+  const bool is_complete = complete == json.end() || complete->get<bool>();
+
+  std::vector<Entry> entries;
+  for (const auto& member : *members) {
+    if (!member.is_object()) return "a member is not an object";
+    const auto id = member.find("id");
+    const auto address = member.find("host_port");
+    const auto phase = member.find("phase");
+    const auto cell = member.find("cell");
+    const auto up_since = member.find("up_since_ms");
+    if (id == member.end() || !id->is_string()) return "a member's id is missing or not a string";
+    if (phase == member.end() || !phase->is_string()) return "a member's phase is missing or not a string";
+    Entry& entry = entries.emplace_back();
     entry.id = id->get<std::string>();
     const std::string state = phase->get<std::string>();
     if (state == "in_service") {
@@ -78,101 +87,129 @@
     } else if (state == "terminated") {
       entry.state = EndpointState::kRemoved;
     } else {
-      return "a member's phase is unknown";
+      return "a member's phase is not in_service, terminating or terminated";
+    }
+    if (address == member.end() || !address->is_string() ||
+        !parse_address(address->get<std::string>(), entry.address)) {
+      return "a member's host_port is missing or not an address";
+    }
+    if (cell == member.end() || !cell->is_number_unsigned() ||
+        cell->get<std::uint64_t>() > kMaxRingPosition) {
+      return "a member's cell is missing or not a whole number from 0 to 65535";
     }
-    if (at == e.end() || !at->is_string() || !parse_address(at->get<std::string>(), entry.address))
-      return "a member has no address";
-    if (cell == e.end() || !cell->is_number_unsigned() || cell->get<std::uint64_t>() > 65535)
-      return "a member has no cell";
     entry.ring_position = cell->get<int>();
-    if (const auto f = e.find("flavor"); f != e.end() && f->is_string()) entry.flavor = f->get<std::string>();
-    if (const auto l = e.find("locality"); l != e.end() && l->is_string())
-      entry.locality = l->get<std::string>();
-    const double ms = up != e.end() && up->is_number() ? up->get<double>() : up == e.end() ? 0 : -1;
-    if (!(ms >= 0 && ms < 9e12)) return "a member's start is not a time";
-    entry.started_at = static_cast<Time>(std::llround(ms * 1e6));
+    if (const auto flavor = member.find("flavor"); flavor != member.end() && flavor->is_string()) {
+      entry.flavor = flavor->get<std::string>();
+    }
+    if (const auto locality = member.find("locality"); locality != member.end() && locality->is_string()) {
+      entry.locality = locality->get<std::string>();
+    }
+    const double up_since_ms = up_since != member.end() && up_since->is_number() ? up_since->get<double>()
+                               : up_since == member.end()                        ? 0
+                                                                                 : -1;
+    if (!(up_since_ms >= 0 && up_since_ms < kMaxUpSinceMs)) {
+      return "a member's up_since_ms is not a time in milliseconds";
+    }
+    entry.started_at = static_cast<Time>(std::llround(up_since_ms * 1e6));
   }
 
-  const auto at = revision->get<std::uint64_t>();
-  // Danger: an agent that lags, or was started with an older state, would take a drained node back into use.
-  if (common_ && ((held_ && at < revision_) || at < common_->min_list_revision()))
-    return "older than what is acted on already";
-  held_ = true;
-  revision_ = at;
-  if (common_) {
-    common_->list_begins(at, whole);
-    for (const auto& e : read)
-      common_->list_endpoint(e.id, e.started_at, e.state, e.locality, e.ring_position);
-    common_->list_ends();
+  const auto new_revision = revision->get<std::uint64_t>();
+  // An agent that lags, or was started with an older state, would put a drained endpoint back into use.
+  if (cluster_ && ((has_list_ && new_revision < revision_) || new_revision < cluster_->min_list_revision())) {
+    return "the list is older than the one in use here or in the cluster";
+  }
+  has_list_ = true;
+  revision_ = new_revision;
+  if (cluster_) {
+    cluster_->list_begins(new_revision, is_complete);
+    for (const auto& entry : entries) {
+      cluster_->list_endpoint(entry.id, entry.started_at, entry.state, entry.locality, entry.ring_position);
+    }
+    cluster_->list_ends();
   }
-  ++lists_;
-  policy_.list_begins(now(), whole);
-  for (const auto& e : read) {
-    Known& k = known_[e.id];
-    if (k.id == 0) k.id = ++last_id_;
-    k.entry = e;
-    k.named_in = lists_;
-    k.withheld = common_ && common_->is_withheld(e.id, e.started_at);
-    tell(k);
+  ++list_count_;
+  policy_.list_begins(now(), is_complete);
+  for (const auto& entry : entries) {
+    Endpoint& endpoint = endpoints_[entry.id];
+    if (endpoint.id == 0) endpoint.id = ++last_id_;
+    endpoint.entry = entry;
+    endpoint.last_list = list_count_;
+    endpoint.is_withheld = cluster_ && cluster_->is_withheld(entry.id, entry.started_at);
+    report(endpoint);
   }
   policy_.list_ends();
-  if (whole)
-    for (auto& [name, k] : known_)
-      if (k.named_in != lists_) k.entry.state = EndpointState::kRemoved, tell_(k.id, k.entry);
-  // A list that is as new as what was heard ends what was withheld for it, of nodes that it does not name
-  // too.
-  if (common_) update_withheld();
+  if (is_complete) {
+    for (auto& [name, endpoint] : endpoints_) {
+      if (endpoint.last_list != list_count_) {
+        endpoint.entry.state = EndpointState::kRemoved;
+        updated_(endpoint.id, endpoint.entry);
+      }
+    }
+  }
+  // A list as new as the one that endpoints were withheld for releases them, those that it doesn't name
+  // included.
+  if (cluster_) update_withheld();
   return nullptr;
 }
 
-void EndpointRegistry::tell(Known& k) {
-  Entry told = k.entry;
-  if (k.withheld && told.state == EndpointState::kReady) told.state = EndpointState::kDraining;
-  const int zone = common_ ? common_->zone_of(told.locality) : 0;
-  if (zone != 0)
-    zones_[k.id] = zone;
-  else
-    zones_.erase(k.id);
-  // A node of no known zone is as near as any; what comes of it tells nothing of the own one.
-  const bool known = common_ && zone < static_cast<int>(common_->zones().size());
-  policy_.list_endpoint(k.id, told.state, told.started_at, told.ring_position, known ? zone : 0);
-  tell_(k.id, told);
+// Reports the endpoint to the policy and the listener; a ready one that is withheld, as draining.
+void EndpointRegistry::report(Endpoint& endpoint) {
+  Entry entry = endpoint.entry;
+  if (endpoint.is_withheld && entry.state == EndpointState::kReady) entry.state = EndpointState::kDraining;
+  const int zone = cluster_ ? cluster_->zone_of(entry.locality) : 0;
+  if (zone != 0) {
+    zones_[endpoint.id] = zone;
+  } else {
+    zones_.erase(endpoint.id);
+  }
+  // An endpoint without a known zone counts as near as any. Its number is past the last zone's, so that its
+  // results aren't taken for those of this broker's zone.
+  const bool is_zone_known = cluster_ && zone < static_cast<int>(cluster_->zones().size());
+  policy_.list_endpoint(endpoint.id, entry.state, entry.started_at, entry.ring_position,
+                        is_zone_known ? zone : 0);
+  updated_(endpoint.id, entry);
 }
 
 void EndpointRegistry::update_withheld() {
-  bool begun = false;
-  for (auto& [name, k] : known_) {
-    const bool withheld =
-        k.entry.state == EndpointState::kReady && common_->is_withheld(name, k.entry.started_at);
-    if (k.entry.state != EndpointState::kReady || withheld == k.withheld) continue;
-    if (!std::exchange(begun, true)) policy_.list_begins(now(), false);
-    k.withheld = withheld;
-    tell(k);
+  bool has_begun = false;
+  for (auto& [name, endpoint] : endpoints_) {
+    const bool is_withheld = endpoint.entry.state == EndpointState::kReady &&
+                             cluster_->is_withheld(name, endpoint.entry.started_at);
+    if (endpoint.entry.state != EndpointState::kReady || is_withheld == endpoint.is_withheld) continue;
+    if (!std::exchange(has_begun, true)) policy_.list_begins(now(), false);
+    endpoint.is_withheld = is_withheld;
+    report(endpoint);
   }
 }
 
 std::string EndpointRegistry::name_of(EndpointId id) const {
-  for (const auto& [name, k] : known_)
-    if (k.id == id) return name;
+  for (const auto& [name, endpoint] : endpoints_) {
+    if (endpoint.id == id) return name;
+  }
   return "";
 }
 
 EndpointId EndpointRegistry::id_of(const std::string& name) const {
-  const auto it = known_.find(name);
-  return it == known_.end() ? 0 : it->second.id;
+  const auto it = endpoints_.find(name);
+  return it == endpoints_.end() ? 0 : it->second.id;
 }
 
-std::vector<std::string> EndpointRegistry::ready_at(int cell) const {
-  std::vector<std::string> all;
-  for (const auto& [name, k] : known_)
-    if (k.entry.ring_position == cell && k.entry.state == EndpointState::kReady) all.push_back(name);
-  return all;
+std::vector<std::string> EndpointRegistry::ready_at(int ring_position) const {
+  std::vector<std::string> names;
+  for (const auto& [name, endpoint] : endpoints_) {
+    if (endpoint.entry.ring_position == ring_position && endpoint.entry.state == EndpointState::kReady) {
+      names.push_back(name);
+    }
+  }
+  return names;
 }
 
 int EndpointRegistry::ready_count() const {
-  int n = 0;
-  for (const auto& [name, k] : known_) n += k.entry.state == EndpointState::kReady;
-  return n;
+  int count = 0;
+  for (const auto& [name, endpoint] : endpoints_) {
+    count += endpoint.entry.state == EndpointState::kReady;
+  }
+  return count;
 }
 
 int EndpointRegistry::zone_of(EndpointId id) const {
@@ -182,7 +219,7 @@
 
 void EndpointRegistry::forget(EndpointId id) {
   zones_.erase(id);
-  std::erase_if(known_, [&](const auto& known) { return known.second.id == id; });
+  std::erase_if(endpoints_, [&](const auto& named) { return named.second.id == id; });
 }
 
 }  // namespace cairnhub::dispatch
--- a/src/dispatch/endpoint_registry.h
+++ b/src/dispatch/endpoint_registry.h
@@ -1,5 +1,5 @@
-// The list of nodes. The one place where their ids, addresses, phases and start times become the broker's
-// own.
+// The endpoint list: reads it as the discovery agent sends it, gives each endpoint the broker's own id, and
+// passes on what the list says of it.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -18,53 +18,60 @@
 class EndpointRegistry {
  public:
   struct Entry {
-    std::string id, flavor, locality;
+    std::string id;
+    std::string flavor;
+    std::string locality;
     Address address;
     EndpointState state;
     Time started_at;
     int ring_position;
   };
-  // `tell` learns what the list says of each node, the policy the whole list.
+  // The policy is told the whole list, `updated` each entry that is added or may have changed.
   using EndpointUpdated = std::function<void(EndpointId, const Entry&)>;
-  EndpointRegistry(RequestPolicy& policy, EndpointUpdated tell) : policy_(policy), tell_(std::move(tell)) {}
+  EndpointRegistry(RequestPolicy& policy, EndpointUpdated updated)
+      : policy_(policy), updated_(std::move(updated)) {}
 
-  // Takes a list or changes to it. Nothing of a malformed one is taken: returns what is wrong with it, or
-  // null.
+  // Applies a complete list, or changes to the list. Applies nothing of a malformed one.
+  // @return its fault, or null
   const char* apply_list(std::string_view json);
-  // From now on nodes are withheld as brokers know in common, and no list is taken that is older than one
-  // they act on.
-  void set_cluster_control(ClusterControl& common) { common_ = &common; }
-  void update_withheld();  // what is withheld may have changed
-  void reset_revision() {  // another agent: its revisions aren't those of the list in hand
+  // From now on, endpoints are withheld as the cluster has agreed, and lists older than one that the cluster
+  // acts on are refused.
+  void set_cluster_control(ClusterControl& cluster) { cluster_ = &cluster; }
+  // Updates the endpoints that the cluster has begun or ceased to withhold. Needs set_cluster_control().
+  void update_withheld();
+  // The lists come from another agent from now on, whose revisions start anew.
+  void reset_revision() {
     revision_ = 0;
-    if (common_) common_->list_reset();
+    if (cluster_) cluster_->list_reset();
   }
   void forget(EndpointId id);
-  int zone_of(EndpointId id) const;                 // 0 where it isn't known
-  std::string name_of(EndpointId id) const;         // empty where it isn't known
-  EndpointId id_of(const std::string& name) const;  // 0 where it isn't known
-  // Names of nodes in service, by cell.
-  std::vector<std::string> ready_at(int cell) const;
+  int zone_of(EndpointId id) const;                 // 0 where the endpoint or its zone is unknown
+  std::string name_of(EndpointId id) const;         // empty where the endpoint is unknown
+  EndpointId id_of(const std::string& name) const;  // 0 where the endpoint is unknown
+  // Names of the endpoints in service at the ring position.
+  std::vector<std::string> ready_at(int ring_position) const;
   int ready_count() const;
-  bool has_list() const { return held_; }
+  bool has_list() const { return has_list_; }
   std::uint64_t revision() const { return revision_; }
 
  private:
-  struct Known {
+  struct Endpoint {
     EndpointId id = 0;
     Entry entry;
-    std::uint64_t named_in = 0;
-    bool withheld = false;
+    std::uint64_t last_list = 0;  // number of the last list that named it
+    bool is_withheld = false;
   };
-  void tell(Known& k);
+  void report(Endpoint& endpoint);
+
   RequestPolicy& policy_;
-  EndpointUpdated tell_;
-  ClusterControl* common_ = nullptr;
-  std::map<std::string, Known> known_;
-  std::unordered_map<EndpointId, int> zones_;  // of those not in zone 0; looked up, never walked
+  EndpointUpdated updated_;
+  ClusterControl* cluster_ = nullptr;
+  std::map<std::string, Endpoint> endpoints_;  // by name
+  std::unordered_map<EndpointId, int> zones_;  // of endpoints outside zone 0; must not be iterated over
   EndpointId last_id_ = 0;
-  bool held_ = false;
-  std::uint64_t revision_ = 0, lists_ = 0;
+  bool has_list_ = false;
+  std::uint64_t revision_ = 0;
+  std::uint64_t list_count_ = 0;
 };
 
 }  // namespace cairnhub::dispatch
--- a/src/dispatch/in_flight_requests.cpp
+++ b/src/dispatch/in_flight_requests.cpp
@@ -6,11 +6,13 @@
 
 namespace {
 
-// What a part takes here, at its sends and in the policy, beside its bytes; and a multiget as much again.
-constexpr std::size_t kPartBytes = 2048;
+// Memory of a shard request beside its bytes, with its attempts and its state in the policy; a request takes
+// as much again.
+constexpr std::size_t kShardRequestBytes = 2048;
 
-AttemptOutcome outcome(const AttemptResult& r) {
-  switch (r.end) {
+AttemptOutcome outcome_of(const AttemptResult& result) {
+  const bool is_fully_written = result.write_progress == WriteProgress::kFullyWritten;
+  switch (result.end) {
     case AttemptEnd::kReturned:
       return AttemptOutcome::kOk;
     case AttemptEnd::kError:
@@ -18,93 +20,103 @@
     case AttemptEnd::kQueueFull:
       return AttemptOutcome::kQueueFull;
     case AttemptEnd::kConnectionLost:
-      return r.write_progress == WriteProgress::kFullyWritten ? AttemptOutcome::kReset
-                                                              : AttemptOutcome::kConnectFailed;
-    case AttemptEnd::kInvalidResponse:  // the node's connection failed, not the node; it may have run
-      return r.write_progress == WriteProgress::kFullyWritten ? AttemptOutcome::kError
-                                                              : AttemptOutcome::kConnectFailed;
+      return is_fully_written ? AttemptOutcome::kReset : AttemptOutcome::kConnectFailed;
+    case AttemptEnd::kInvalidResponse:  // the connection failed, not the endpoint; the attempt may have run
+      return is_fully_written ? AttemptOutcome::kError : AttemptOutcome::kConnectFailed;
     case AttemptEnd::kTimedOut:
-      return r.write_progress == WriteProgress::kFullyWritten ? AttemptOutcome::kTimedOut
-                                                              : AttemptOutcome::kNotSent;
+      return is_fully_written ? AttemptOutcome::kTimedOut : AttemptOutcome::kNotSent;
     case AttemptEnd::kCancelled:
-      return r.write_progress == WriteProgress::kFullyWritten ? AttemptOutcome::kCancelled
-                                                              : AttemptOutcome::kNotSent;
+      return is_fully_written ? AttemptOutcome::kCancelled : AttemptOutcome::kNotSent;
   }
   return AttemptOutcome::kError;
 }
 
 }  // namespace
 
-Request& InFlightRequests::add(std::unique_ptr<Request> query) {
-  Request& q = *query;
-  q.id = ++last_id_;
-  q.memory_bytes = q.body.size() + kPartBytes * (1 + q.shard_requests.size());
-  for (auto& p : q.shard_requests) q.memory_bytes += p->body ? p->body->size() : 0;
-  bytes_ += q.memory_bytes;
-  for (auto& p : q.shard_requests) {
-    p->id = ++last_id_;
-    p->request = &q;
-    parts_[p->id] = p.get();
+Request& InFlightRequests::add(std::unique_ptr<Request> added) {
+  Request& request = *added;
+  request.id = ++last_id_;
+  request.memory_bytes = request.body.size() + kShardRequestBytes * (1 + request.shard_requests.size());
+  for (auto& shard_request : request.shard_requests) {
+    request.memory_bytes += shard_request->body ? shard_request->body->size() : 0;
   }
-  names_[q.name] = &q;
-  queries_[q.id] = std::move(query);
-  return q;
+  memory_bytes_ += request.memory_bytes;
+  for (auto& shard_request : request.shard_requests) {
+    shard_request->id = ++last_id_;
+    shard_request->request = &request;
+    shard_requests_[shard_request->id] = shard_request.get();
+  }
+  names_[request.name] = &request;
+  requests_[request.id] = std::move(added);
+  return request;
 }
 
 Request* InFlightRequests::find_request(RequestId id) const {
-  const auto it = queries_.find(id);
-  return it == queries_.end() ? nullptr : it->second.get();
+  const auto it = requests_.find(id);
+  return it == requests_.end() ? nullptr : it->second.get();
 }
 
 ShardRequest* InFlightRequests::find_shard_request(RequestId id) const {
-  const auto it = parts_.find(id);
-  return it == parts_.end() ? nullptr : it->second;
+  const auto it = shard_requests_.find(id);
+  return it == shard_requests_.end() ? nullptr : it->second;
 }
 
-AttemptOutcome InFlightRequests::record_attempt_end(Attempt& e, const AttemptResult& result) {
-  e.has_ended = true, e.ended_at = now();
-  ShardRequest& p = *e.shard_request;
-  Request& q = *p.request;
-  AttemptOutcome how = outcome(result);
-  if (how == AttemptOutcome::kOk && q.callbacks && !p.value) {
-    // Danger: values without bound. One that can't stand in any answer is as good as none.
-    const std::size_t n = result.value.size();
-    const bool room = q.value_bytes + n <= q.max_value_bytes && bytes_ + n <= most_;
-    const auto use = room ? q.callbacks->on_value(p, result.value) : RequestCallbacks::ValueUse::kInvalid;
-    if (use == RequestCallbacks::ValueUse::kInvalid)
-      how = AttemptOutcome::kError;
-    else if (use == RequestCallbacks::ValueUse::kTaken)
-      p.value.emplace();
-    else
-      p.value = result.value, q.value_bytes += n, q.memory_bytes += n, bytes_ += n;
+AttemptOutcome InFlightRequests::record_attempt_end(Attempt& attempt, const AttemptResult& result) {
+  attempt.has_ended = true;
+  attempt.ended_at = now();
+  ShardRequest& shard_request = *attempt.shard_request;
+  Request& request = *shard_request.request;
+  AttemptOutcome outcome = outcome_of(result);
+  if (outcome == AttemptOutcome::kOk && request.callbacks && !shard_request.value) {
+    // Values must not grow without bound. One that doesn't fit into any response counts as an error.
+    const std::size_t size = result.value.size();
+    const bool fits =
+        request.value_bytes + size <= request.max_value_bytes && memory_bytes_ + size <= max_memory_bytes_;
+    const auto use = fits ? request.callbacks->on_value(shard_request, result.value)
+                          : RequestCallbacks::ValueUse::kInvalid;
+    if (use == RequestCallbacks::ValueUse::kInvalid) {
+      outcome = AttemptOutcome::kError;
+    } else if (use == RequestCallbacks::ValueUse::kTaken) {
+      shard_request.value.emplace();
+    } else {
+      shard_request.value = result.value;
+      request.value_bytes += size;
+      request.memory_bytes += size;
+      memory_bytes_ += size;
+    }
   }
-  e.outcome = how;
-  notes_.push_back({p.id, e.index, how, now() - e.sent_at});
-  forget_if_done(q);
-  return how;
+  attempt.outcome = outcome;
+  ended_attempts_.push_back({shard_request.id, attempt.index, outcome, now() - attempt.sent_at});
+  remove_if_done(request);
+  return outcome;
 }
 
 bool InFlightRequests::report_attempt_ends() {
-  const auto notes = std::exchange(notes_, {});
-  for (const Note& n : notes)  // the report that came along is not read: no decision uses it
-    policy_.attempt_ended(now(), n.part, n.index, n.outcome, n.latency, n.outcome == AttemptOutcome::kOk, {});
-  return !notes.empty();
+  const auto ended_attempts = std::exchange(ended_attempts_, {});
+  // The endpoints' load reports are left out: no decision uses them.
+  for (const EndedAttempt& ended : ended_attempts) {
+    policy_.attempt_ended(now(), ended.shard_request, ended.index, ended.outcome, ended.latency,
+                          ended.outcome == AttemptOutcome::kOk, {});
+  }
+  return !ended_attempts.empty();
 }
 
-void InFlightRequests::close(Request& q) {
-  q.callbacks.reset();
-  names_.erase(q.name);
-  forget_if_done(q);
+void InFlightRequests::close(Request& request) {
+  request.callbacks.reset();
+  names_.erase(request.name);
+  remove_if_done(request);
 }
 
-void InFlightRequests::forget_if_done(Request& q) {
-  if (q.callbacks) return;
-  for (const auto& p : q.shard_requests)
-    for (const auto& e : p->attempts)
-      if (!e->has_ended) return;
-  for (const auto& p : q.shard_requests) parts_.erase(p->id);
-  bytes_ -= q.memory_bytes;
-  queries_.erase(q.id);
+void InFlightRequests::remove_if_done(Request& request) {
+  if (request.callbacks) return;
+  for (const auto& shard_request : request.shard_requests) {
+    for (const auto& attempt : shard_request->attempts) {
+      if (!attempt->has_ended) return;
+    }
+  }
+  for (const auto& shard_request : request.shard_requests) shard_requests_.erase(shard_request->id);
+  memory_bytes_ -= request.memory_bytes;
+  requests_.erase(request.id);
 }
 
 }  // namespace cairnhub::dispatch
--- a/src/dispatch/in_flight_requests.h
+++ b/src/dispatch/in_flight_requests.h
@@ -1,5 +1,5 @@
-// The book of multigets in hand: finds what the decisions name, notes how sends ended, and hands that back to
-// the policy.
+// The requests in flight: finds those that the policy's actions name, records how attempts ended, and reports
+// that to the policy.
 #pragma once
 #include <unordered_map>
 #include <utility>
@@ -12,44 +12,51 @@
 
 class InFlightRequests {
  public:
-  // `memory`: of the process; values come in only while half of it isn't taken.
-  InFlightRequests(RequestPolicy& policy, std::size_t memory) : policy_(policy), most_(memory / 2) {}
+  // @param memory_bytes the limit of the process. Values are accepted only while requests in flight take less
+  //                     than half of it.
+  InFlightRequests(RequestPolicy& policy, std::size_t memory_bytes)
+      : policy_(policy), max_memory_bytes_(memory_bytes / 2) {}
 
-  Request& add(std::unique_ptr<Request> query);       // gives it and its parts their ids
-  RequestId next_id() const { return last_id_ + 1; }  // of the next opened
+  Request& add(std::unique_ptr<Request> request);     // assigns ids to it and its shard requests
+  RequestId next_id() const { return last_id_ + 1; }  // that the next request added gets
   Request* find_request(RequestId id) const;
   ShardRequest* find_shard_request(RequestId id) const;
+  // Whether a request of the name awaits its response.
   bool contains(const std::string& name) const { return names_.count(name) != 0; }
+  // Requests that await their response.
   std::size_t count() const { return names_.size(); }
-  std::size_t memory_bytes() const { return bytes_; }  // taken by what is in hand, about
-  // Multigets are taken while those in hand take less than a quarter of the memory; the rest is for values to
-  // come, connections and the program. Danger: a flood. What is turned away has sent nothing, so trying again
-  // is harmless.
-  bool is_full() const { return bytes_ >= most_ / 2; }
-  // What is held for a client beside its multigets, before and after a change of it.
-  void adjust_memory(std::size_t before, std::size_t after) { bytes_ += after - before; }
-
-  // What became of it; the attempt itself may be gone once this returns.
+  std::size_t memory_bytes() const { return memory_bytes_; }  // approximate
+  // Whether new requests must be rejected, so that a flood of them can't exhaust the memory: those in flight
+  // take a quarter of it. The rest is for values to come, connections and the program. A request rejected on
+  // arrival has sent nothing, so that a retry is harmless.
+  bool is_full() const { return memory_bytes_ >= max_memory_bytes_ / 2; }
+  // Accounts for what a frontend holds beside the requests, before and after a change.
+  void adjust_memory(std::size_t before, std::size_t after) { memory_bytes_ += after - before; }
+
+  // Records the attempt's result. The attempt may be destroyed when this returns.
   AttemptOutcome record_attempt_end(Attempt& attempt, const AttemptResult& result);
-  bool report_attempt_ends();  // what was noted goes to the policy; false where there was nothing
-  void close(Request& query);  // answered or abandoned: kept until its last send has ended
+  // Reports the recorded results to the policy. @return whether there were any
+  bool report_attempt_ends();
+  // The request was responded to or abandoned; it is kept until its last attempt has ended.
+  void close(Request& request);
 
  private:
-  struct Note {
-    RequestId part;
+  struct EndedAttempt {
+    RequestId shard_request;
     int index;
     AttemptOutcome outcome;
     Time latency;
   };
-  void forget_if_done(Request& query);
+  void remove_if_done(Request& request);
 
   RequestPolicy& policy_;
-  std::size_t most_, bytes_ = 0;
+  std::size_t max_memory_bytes_;
+  std::size_t memory_bytes_ = 0;
   RequestId last_id_ = 0;
-  std::unordered_map<RequestId, std::unique_ptr<Request>> queries_;  // looked up, never walked
-  std::unordered_map<RequestId, ShardRequest*> parts_;
-  std::unordered_map<std::string, Request*> names_;  // of those still open
-  std::vector<Note> notes_;
+  std::unordered_map<RequestId, std::unique_ptr<Request>> requests_;  // must not be iterated over
+  std::unordered_map<RequestId, ShardRequest*> shard_requests_;
+  std::unordered_map<std::string, Request*> names_;  // of requests that await their response
+  std::vector<EndedAttempt> ended_attempts_;
 };
 
 }  // namespace cairnhub::dispatch
--- a/src/dispatch/request.h
+++ b/src/dispatch/request.h
@@ -1,4 +1,5 @@
-// A multiget as it passes the stages: the bytes that go on unchanged, and what the decisions need.
+// A request from a client, its shard requests, and the attempts made for each: the bytes that are passed on
+// unchanged, and what the policy needs to know.
 #pragma once
 #include <memory>
 #include <optional>
@@ -14,41 +15,47 @@
 struct ShardRequest;
 struct Request;
 
-// Where an answer is written, on whatever connection its request came.
+// Writes the response to the connection that the request came on.
 class Responder {
  public:
   virtual ~Responder() = default;
-  // `come_back` in seconds as text, or empty; `type`: of the body, or null for JSON with a 200 and text else.
-  // Called once.
-  virtual void respond(int status, std::string_view come_back, std::string body,
-                       const char* type = nullptr) = 0;
+  // Call it once.
+  // @param retry_after  seconds as text, or empty
+  // @param content_type null: JSON for status 200, plain text for any other
+  virtual void respond(int status, std::string_view retry_after, std::string body,
+                       const char* content_type = nullptr) = 0;
 };
 
-// Whose multiget it is. It's told of each value that comes and, once, how the multiget ended; a front stands
-// behind this, and the form of what its client is told.
+// What a frontend does with the values of a request and with its end. One of on_response, on_rejected and
+// on_failed is called, once; none where the client abandons the request.
 class RequestCallbacks {
  public:
   virtual ~RequestCallbacks() = default;
-  // What becomes of a value that a node gave: it's kept with its part, or the client has taken what it needs
-  // of it, or it's spoilt and counts as a send that failed and may have run. May only note down.
-  enum class ValueUse { kKeep, kTaken, kInvalid };
+  enum class ValueUse {
+    kKeep,     // the value is kept with its shard request
+    kTaken,    // the callback has taken what it needs
+    kInvalid,  // the attempt counts as failed; it may have run
+  };
+  // Takes the value that an endpoint returned. May only record it.
   virtual ValueUse on_value(const ShardRequest&, std::string_view) { return ValueUse::kKeep; }
-  virtual void on_response(const Request& query, bool whole) = 0;
-  virtual void on_rejected(const Request& query,
-                           Time come_back) = 0;      // 0 = no advice; trying again is harmless
-  virtual void on_failed(const Request& query) = 0;  // may have taken effect
+  virtual void on_response(const Request& request, bool is_complete) = 0;
+  // A retry is harmless. @param retry_after 0: no advice
+  virtual void on_rejected(const Request& request, Time retry_after) = 0;
+  virtual void on_failed(const Request& request) = 0;  // the request may have taken effect
 };
 
-// One attempt of one part, as the sending stage holds it.
+// One attempt for a shard request, as backends handle it.
 struct Attempt {
   ShardRequest* shard_request = nullptr;
   EndpointId endpoint = 0;
   int index = 0;
-  Time sent_at = 0, expires_at = 0, ended_at = 0;
-  Time begins_by = kNever;  // not to be begun later
+  Time sent_at = 0;
+  Time expires_at = 0;
+  Time ended_at = 0;
+  Time begins_by = kNever;  // its writing must not begin later
   bool has_ended = false;
   TrafficAccount account;                        // set where bytes are counted
-  AttemptOutcome outcome = AttemptOutcome::kOk;  // once ended
+  AttemptOutcome outcome = AttemptOutcome::kOk;  // once it has ended
 };
 
 struct ShardRequest {
@@ -56,23 +63,26 @@
   Request* request = nullptr;
   int shard = 0;
   double weight = 0;
-  std::string name;                 // at the nodes
-  std::optional<std::string> body;  // its own; none: the multiget's
-  std::string http_target;  // where it's asked at hosts that speak HTTP; goes before the text elsewhere
+  std::string name;                 // by which endpoints know it
+  std::optional<std::string> body;  // none: the body of the request
+  std::string http_target;          // of the HTTP request; framed backends put it in front of the body
   std::optional<std::string> value;
   std::vector<std::unique_ptr<Attempt>> attempts;
 };
 
 struct Request {
   RequestId id = 0;
-  std::string name, body;
+  std::string name;
+  std::string body;
   int request_class = 0;
   bool is_client_retry = false;
-  Time time_left = 0, arrived_at = 0;
+  Time time_left = 0;
+  Time arrived_at = 0;
   std::vector<std::unique_ptr<ShardRequest>> shard_requests;
-  std::size_t value_bytes = 0, max_value_bytes = 65536;  // no answer in the platform's form holds more
-  std::size_t memory_bytes = 0;                          // what it takes of the memory, about
-  std::unique_ptr<RequestCallbacks> callbacks;           // none once answered or gone
+  std::size_t value_bytes = 0;
+  std::size_t max_value_bytes = 65536;          // the most that a response in the platform's form holds
+  std::size_t memory_bytes = 0;                 // approximate
+  std::unique_ptr<RequestCallbacks> callbacks;  // null once the request has ended
 };
 
 }  // namespace cairnhub::dispatch
--- a/src/dispatch/request_dispatcher.cpp
+++ b/src/dispatch/request_dispatcher.cpp
@@ -8,197 +8,211 @@
 
 namespace {
 
-// No attempt may begin later than 0.1 s after its client has gone.
-constexpr Time kLookAtClientsEvery = 50 * kSecond / 1000;
+// No attempt may begin later than 100 ms after its client has gone.
+constexpr Time kDepartureCheckInterval = 50 * kSecond / 1000;
 
-// Sets a mark for as long as it lives. Danger: an exception that left the mark behind would be the last turn.
-class Mark {
+// Sets a flag for its own lifetime. An exception that left the flag set would block every later turn.
+class ScopedFlag {
  public:
-  explicit Mark(bool& mark) : mark_(mark) { mark_ = true; }
-  ~Mark() { mark_ = false; }
-  Mark(const Mark&) = delete;
-  Mark& operator=(const Mark&) = delete;
+  explicit ScopedFlag(bool& flag) : flag_(flag) { flag_ = true; }
+  ~ScopedFlag() { flag_ = false; }
+  ScopedFlag(const ScopedFlag&) = delete;
+  ScopedFlag& operator=(const ScopedFlag&) = delete;
 
  private:
-  bool& mark_;
+  bool& flag_;
 };
 
 }  // namespace
 
-RequestDispatcher::RequestDispatcher(event_base* base, RequestPolicy& policy, InFlightRequests& book,
-                                     Backend& hosts, std::function<void(EndpointId)> forget,
-                                     std::function<bool()> follow_up, RequestTrace::EndpointNames names)
+RequestDispatcher::RequestDispatcher(event_base* base, RequestPolicy& policy, InFlightRequests& requests,
+                                     Backend& backend, std::function<void(EndpointId)> endpoint_forgotten,
+                                     std::function<bool()> follow_up,
+                                     RequestTrace::EndpointNames endpoint_names)
     : policy_(policy),
-      book_(book),
-      hosts_(hosts),
-      forget_(std::move(forget)),
+      requests_(requests),
+      backend_(backend),
+      endpoint_forgotten_(std::move(endpoint_forgotten)),
       follow_up_(std::move(follow_up)),
-      wake_(base, [this] { run_actions(); }),
-      trace_(std::move(names)) {}
+      wake_timer_(base, [this] { run_actions(); }),
+      trace_(std::move(endpoint_names)) {}
 
-void RequestDispatcher::set_cluster_control(ClusterControl& common, ClusterHooks held) {
-  common_ = &common, with_ = std::move(held);
-  with_.apply_rules();
+void RequestDispatcher::set_cluster_control(ClusterControl& cluster, ClusterHooks hooks) {
+  cluster_ = &cluster;
+  hooks_ = std::move(hooks);
+  hooks_.apply_rules();
 }
 
-void RequestDispatcher::add_derived_class(int op_type, int from) { derived_[op_type] = from; }
+void RequestDispatcher::add_derived_class(int request_class, int base_class) {
+  base_classes_[request_class] = base_class;
+}
 
-int RequestDispatcher::base_class(int op_type) const {
-  const auto it = derived_.find(op_type);
-  return it == derived_.end() ? op_type : it->second;
+int RequestDispatcher::base_class(int request_class) const {
+  const auto it = base_classes_.find(request_class);
+  return it == base_classes_.end() ? request_class : it->second;
 }
 
-const RequestClassLimits& RequestDispatcher::limits(int op_type) {
-  static const RequestClassLimits none;
-  if (!common_) return none;
+const RequestClassLimits& RequestDispatcher::limits(int request_class) {
+  static const RequestClassLimits kUnlimited;
+  if (!cluster_) return kUnlimited;
   refresh_cluster_rules();
-  return common_->limits(base_class(op_type));
+  return cluster_->limits(base_class(request_class));
 }
 
-bool RequestDispatcher::may_run_two_phase(int op_type) {
+bool RequestDispatcher::may_run_two_phase(int request_class) {
   refresh_cluster_rules();
-  return !common_ || common_->may_run_two_phase(op_type);
+  return !cluster_ || cluster_->may_run_two_phase(request_class);
 }
 
 bool RequestDispatcher::serves_index(const std::string& name) {
   refresh_cluster_rules();
-  return !common_ || common_->serves_index(name);
+  return !cluster_ || cluster_->serves_index(name);
 }
 
 void RequestDispatcher::refresh_cluster_rules() {
-  if (!common_) return;
-  if (common_->refresh_rules()) with_.apply_rules();
-  with_.refresh_budgets();
+  if (!cluster_) return;
+  if (cluster_->refresh_rules()) hooks_.apply_rules();
+  hooks_.refresh_budgets();
 }
 
-RequestId RequestDispatcher::start_request(std::unique_ptr<Request> query) {
-  Request& q = book_.add(std::move(query));
-  if (common_) {
-    common_->record_request(base_class(q.request_class), q);
-    const RequestClassLimits& limits = this->limits(q.request_class);
-    if (!class_limiter_.admit(base_class(q.request_class), limits.is_served, limits.max_in_flight)) {
-      const RequestId id = q.id;
-      q.callbacks->on_rejected(q, with_.retry_after);
-      end(q);
+RequestId RequestDispatcher::start_request(std::unique_ptr<Request> started) {
+  Request& request = requests_.add(std::move(started));
+  if (cluster_) {
+    cluster_->record_request(base_class(request.request_class), request);
+    const RequestClassLimits& limits = this->limits(request.request_class);
+    if (!class_limiter_.admit(base_class(request.request_class), limits.is_served, limits.max_in_flight)) {
+      const RequestId id = request.id;
+      request.callbacks->on_rejected(request, hooks_.retry_after);
+      end_request(request);
       return id;
     }
-    q.time_left = std::min(q.time_left, limits.max_time);
+    request.time_left = std::min(request.time_left, limits.max_time);
+  }
+  // Links the request to its shard requests in the policy's inputs; small enough for a float to hold exactly.
+  const float number = static_cast<float>(++arrival_count_ % (1 << 24));
+  const Time arrived_at = now();
+  request.arrived_at = arrived_at;
+  policy_.request_arrived(arrived_at, request.id, request.request_class, number, request.is_client_retry,
+                          request.time_left);
+  for (const auto& shard_request : request.shard_requests) {
+    policy_.shard_request_arrived(arrived_at, shard_request->id, number, shard_request->shard,
+                                  shard_request->weight);
   }
-  // What ties a multiget and its parts together at the policy's door: small enough for a float to hold.
-  const float number = static_cast<float>(++arrivals_ % (1 << 24));
-  const Time at = now();
-  q.arrived_at = at;
-  policy_.request_arrived(at, q.id, q.request_class, number, q.is_client_retry, q.time_left);
-  for (const auto& p : q.shard_requests)
-    policy_.shard_request_arrived(at, p->id, number, p->shard, p->weight);
-  const RequestId id = q.id;
+  const RequestId id = request.id;
   run_actions();
   return id;
 }
 
 void RequestDispatcher::abandon_request(RequestId id) {
-  if (Request* q = book_.find_request(id)) {
-    if (q->callbacks) trace_.record_end(*q, "left by its client", 0);
+  if (Request* request = requests_.find_request(id)) {
+    if (request->callbacks) trace_.record_end(*request, "abandoned by its client", 0);
     policy_.request_abandoned(id);
-    end(*q);
+    end_request(*request);
   }
   run_actions();
 }
 
-// Rule 1. Danger: what waits for its connection would be sent after the answer, where nothing may be called
-// off.
-void RequestDispatcher::end(Request& q) {
-  if (common_) class_limiter_.release(base_class(q.request_class));
-  for (const auto& p : q.shard_requests)
-    for (const auto& e : p->attempts) hosts_.cancel_unwritten(*e);
-  book_.close(q);
+// Cancels the attempts that still wait for a connection, also where the policy may not cancel: none may be
+// sent after the response.
+void RequestDispatcher::end_request(Request& request) {
+  if (cluster_) class_limiter_.release(base_class(request.request_class));
+  for (const auto& shard_request : request.shard_requests) {
+    for (const auto& attempt : shard_request->attempts) backend_.cancel_unwritten(*attempt);
+  }
+  requests_.close(request);
 }
 
-// Danger: the timer is started anew in each turn, and libevent drops a call that is due by then. With
-// something to read in every turn of the loop no wake-up would ever come, and multigets stay unanswered past
-// their time; so each turn sees to those that are due.
-void RequestDispatcher::wake_due() {
-  while (!wakes_.empty() && wakes_.begin()->first <= now()) {
-    policy_.woken(wakes_.begin()->second);
-    wakes_.erase(wakes_.begin());
+// Each turn runs the wake-ups that are due, because it restarts the timer, and libevent then drops a callback
+// that was due already. With something to read in every turn of the event loop the timer would never fire,
+// and requests would stay unanswered past their deadline.
+void RequestDispatcher::run_due_wake_ups() {
+  while (!wake_ups_.empty() && wake_ups_.begin()->first <= now()) {
+    policy_.woken(wake_ups_.begin()->second);
+    wake_ups_.erase(wake_ups_.begin());
   }
 }
 
-// Danger: after the process was held up, what makes for an attempt (an answer, a timer, a connection that
-// came up) may be seen before the end of a client's connection, which lies behind it in the same turn of the
-// loop.
+// After the process was suspended, an event that leads to an attempt (a response, a timer, a connection that
+// came up) may be handled before the end of a client's connection, which comes later in the same turn of the
+// event loop.
 void RequestDispatcher::check_departures() {
-  if (turning_ || !departures_ || now() - clients_seen_ < kLookAtClientsEvery) return;
-  clients_seen_ = now();
-  const Mark mark(turning_);  // what follows is decided once all have been looked at
-  departures_();
+  if (is_running_ || !departure_check_ || now() - departures_checked_at_ < kDepartureCheckInterval) return;
+  departures_checked_at_ = now();
+  const ScopedFlag running(is_running_);  // nothing is decided until all clients have been checked
+  departure_check_();
 }
 
 void RequestDispatcher::run_actions() {
-  if (turning_) return;
+  if (is_running_) return;
   refresh_cluster_rules();
   check_departures();
-  wake_due();
+  run_due_wake_ups();
   {
-    const Mark mark(turning_);
+    const ScopedFlag running(is_running_);
     do {
-      while (const auto d = policy_.next(now())) carry_out(*d);
-      hosts_.flush();
-    } while (follow_up_() || book_.report_attempt_ends());
+      while (const auto action = policy_.next(now())) carry_out(*action);
+      backend_.flush();
+    } while (follow_up_() || requests_.report_attempt_ends());
   }
-  if (!wakes_.empty()) wake_.start(wakes_.begin()->first - now());
+  if (!wake_ups_.empty()) wake_timer_.start(wake_ups_.begin()->first - now());
 }
 
-void RequestDispatcher::carry_out(const PolicyAction& d) {
+void RequestDispatcher::carry_out(const PolicyAction& action) {
   using Kind = PolicyAction::Kind;
-  switch (d.kind) {
+  switch (action.kind) {
     case Kind::kSendAttempt:
-      return send(d);
+      return send_attempt(action);
     case Kind::kCancelAttempt:
-      if (ShardRequest* p = book_.find_shard_request(d.request))
-        hosts_.cancel(*p->attempts.at(d.attempt_index));
+      if (ShardRequest* shard_request = requests_.find_shard_request(action.request)) {
+        backend_.cancel(*shard_request->attempts.at(action.attempt_index));
+      }
       return;
     case Kind::kWake:
-      wakes_.emplace(now() + d.duration, d.token);
+      wake_ups_.emplace(now() + action.duration, action.token);
       return;
     case Kind::kRespond:
     case Kind::kReject:
     case Kind::kFail:
-      if (Request* q = book_.find_request(d.request); q && q->callbacks) {
-        if (trace_.is_enabled())
-          trace_.record_end(*q,
-                            d.kind == Kind::kReject ? "pushed back"
-                            : d.kind == Kind::kFail ? "failed"
-                            : d.is_complete         ? "answered whole"
-                                                    : "answered in part",
-                            d.kind == Kind::kReject ? d.duration : 0);
-        if (d.kind == Kind::kRespond)
-          q->callbacks->on_response(*q, d.is_complete);
-        else if (d.kind == Kind::kReject)
-          q->callbacks->on_rejected(*q, d.duration);
-        else
-          q->callbacks->on_failed(*q);
-        end(*q);
+      if (Request* request = requests_.find_request(action.request); request && request->callbacks) {
+        if (trace_.is_enabled()) {
+          trace_.record_end(*request,
+                            action.kind == Kind::kReject ? "rejected"
+                            : action.kind == Kind::kFail ? "failed"
+                            : action.is_complete         ? "complete response"
+                                                         : "partial response",
+                            action.kind == Kind::kReject ? action.duration : 0);
+        }
+        if (action.kind == Kind::kRespond) {
+          request->callbacks->on_response(*request, action.is_complete);
+        } else if (action.kind == Kind::kReject) {
+          request->callbacks->on_rejected(*request, action.duration);
+        } else {
+          request->callbacks->on_failed(*request);
+        }
+        end_request(*request);
       }
       return;
     case Kind::kForgetEndpoint:
-      return forget_(d.endpoint);
+      return endpoint_forgotten_(action.endpoint);
     case Kind::kProbe:
-    case Kind::kSubscribe:  // the watch always runs
+    case Kind::kSubscribe:  // the discovery watch is always subscribed
       return;
   }
 }
 
-void RequestDispatcher::send(const PolicyAction& d) {
-  ShardRequest* p = book_.find_shard_request(d.request);
-  if (!p) return;
-  auto e = std::make_unique<Attempt>();
-  e->shard_request = p, e->endpoint = d.endpoint, e->index = static_cast<int>(p->attempts.size());
-  e->sent_at = now(), e->expires_at = e->sent_at + d.duration;
-  if (d.begin_within != kNever) e->begins_by = e->sent_at + d.begin_within;
-  p->attempts.push_back(std::move(e));
-  if (common_) with_.record_attempt(*p->attempts.back());
-  hosts_.send(*p->attempts.back(), d.endpoint);
+void RequestDispatcher::send_attempt(const PolicyAction& action) {
+  ShardRequest* shard_request = requests_.find_shard_request(action.request);
+  if (!shard_request) return;
+  auto attempt = std::make_unique<Attempt>();
+  attempt->shard_request = shard_request;
+  attempt->endpoint = action.endpoint;
+  attempt->index = static_cast<int>(shard_request->attempts.size());
+  attempt->sent_at = now();
+  attempt->expires_at = attempt->sent_at + action.duration;
+  if (action.begin_within != kNever) attempt->begins_by = attempt->sent_at + action.begin_within;
+  shard_request->attempts.push_back(std::move(attempt));
+  if (cluster_) hooks_.record_attempt(*shard_request->attempts.back());
+  backend_.send(*shard_request->attempts.back(), action.endpoint);
 }
 
 }  // namespace cairnhub::dispatch
--- a/src/dispatch/request_trace.cpp
+++ b/src/dispatch/request_trace.cpp
@@ -10,20 +10,20 @@
 
 namespace {
 
-const char* outcome_name(AttemptOutcome how) {
-  switch (how) {
+const char* outcome_name(AttemptOutcome outcome) {
+  switch (outcome) {
     case AttemptOutcome::kOk:
       return "ok";
     case AttemptOutcome::kError:
       return "error";
     case AttemptOutcome::kQueueFull:
-      return "full";
+      return "queue full";
     case AttemptOutcome::kTimedOut:
       return "timed out";
     case AttemptOutcome::kConnectFailed:
       return "connect failed";
     case AttemptOutcome::kReset:
-      return "reset";
+      return "connection reset";
     case AttemptOutcome::kCancelled:
       return "cancelled";
     case AttemptOutcome::kNotSent:
@@ -32,39 +32,42 @@
   return "?";
 }
 
-std::string ms(Time span) { return std::to_string(span / (kSecond / 1000)) + " ms"; }
+std::string milliseconds(Time duration) { return std::to_string(duration / (kSecond / 1000)) + " ms"; }
 
 }  // namespace
 
-RequestTrace::RequestTrace(EndpointNames names) : names_(std::move(names)) {
-  const char* asked = std::getenv("CAIRNHUB_TRACE");
-  on_ = asked != nullptr && std::strcmp(asked, "1") == 0;
+RequestTrace::RequestTrace(EndpointNames endpoint_names) : endpoint_names_(std::move(endpoint_names)) {
+  const char* setting = std::getenv("CAIRNHUB_TRACE");
+  is_enabled_ = setting != nullptr && std::strcmp(setting, "1") == 0;
 }
 
-void RequestTrace::record_end(const Request& q, const char* how, Time come_back) const {
-  if (!on_) return;
-  std::fprintf(stderr, "%s\n", format_trace_line(q, how, come_back, now(), names_).c_str());
+void RequestTrace::record_end(const Request& request, const char* result, Time retry_after) const {
+  if (!is_enabled_) return;
+  std::fprintf(stderr, "%s\n",
+               format_trace_line(request, result, retry_after, now(), endpoint_names_).c_str());
 }
 
-std::string format_trace_line(const Request& q, const char* how, Time come_back, Time at,
-                              const RequestTrace::EndpointNames& names) {
-  std::string line = "multiget ";
-  for (const char c : q.name) line += c < ' ' && c >= 0 ? '?' : c;  // the client's bytes
-  line += " (op type " + std::to_string(q.request_class) + ", " +
-          (q.is_client_retry ? "a later try" : "a first try") + ", " + ms(q.time_left) + " left, " +
-          std::to_string(q.shard_requests.size()) + " parts): " + how;
-  line += " after " + ms(at - q.arrived_at);
-  if (come_back > 0) line += ", come back in " + ms(come_back);
-  std::string sends;
-  for (std::size_t i = 0; i < q.shard_requests.size(); ++i)
-    for (const auto& e : q.shard_requests[i]->attempts) {
-      const std::string name = names ? names(e->endpoint) : std::string();
-      sends += (sends.empty() ? "" : ", ") + std::to_string(i) + "." + std::to_string(e->index) + " at " +
-               (name.empty() ? "node " + std::to_string(e->endpoint) : name) + " ";
-      sends += e->has_ended ? std::string(outcome_name(e->outcome)) + " after " + ms(e->ended_at - e->sent_at)
-                            : "out for " + ms(at - e->sent_at);
+std::string format_trace_line(const Request& request, const char* result, Time retry_after, Time ended_at,
+                              const RequestTrace::EndpointNames& endpoint_names) {
+  std::string line = "request ";
+  for (const char c : request.name) line += c < ' ' && c >= 0 ? '?' : c;  // the client's bytes
+  line += " (class " + std::to_string(request.request_class) + ", " +
+          (request.is_client_retry ? "client retry" : "first try") + ", " + milliseconds(request.time_left) +
+          " left, " + std::to_string(request.shard_requests.size()) + " shard requests): " + result;
+  line += " after " + milliseconds(ended_at - request.arrived_at);
+  if (retry_after > 0) line += ", Retry-After " + milliseconds(retry_after);
+  std::string attempts;
+  for (std::size_t i = 0; i < request.shard_requests.size(); ++i) {
+    for (const auto& attempt : request.shard_requests[i]->attempts) {
+      const std::string name = endpoint_names ? endpoint_names(attempt->endpoint) : std::string();
+      attempts += (attempts.empty() ? "" : ", ") + std::to_string(i) + "." + std::to_string(attempt->index) +
+                  " at " + (name.empty() ? "endpoint " + std::to_string(attempt->endpoint) : name) + " ";
+      attempts += attempt->has_ended ? std::string(outcome_name(attempt->outcome)) + " after " +
+                                           milliseconds(attempt->ended_at - attempt->sent_at)
+                                     : "in flight for " + milliseconds(ended_at - attempt->sent_at);
     }
-  return line + "; " + (sends.empty() ? "nothing sent" : "sends " + sends);
+  }
+  return line + "; " + (attempts.empty() ? "no attempts" : "attempts " + attempts);
 }
 
 }  // namespace cairnhub::dispatch
--- a/src/dispatch/request_trace.h
+++ b/src/dispatch/request_trace.h
@@ -1,9 +1,10 @@
-// A line a multiget as it ends, so that the id its client gave can be followed through every broker that
-// handled it: how it ended, after how long, and what became of each send, by node.
+// Writes one line for each request as it ends, so that a request can be followed through every broker that
+// handled it by the id that its client gave: how it ended, after how long, and the result of each attempt, by
+// endpoint.
 //
-// Off unless the environment has CAIRNHUB_TRACE=1 when the broker starts; then each line goes to standard
-// error, past the log's limit of lines a second. Danger: at hundreds of multigets a second it would crowd out
-// the log and slow the broker; it is for a look at a day, not for service.
+// Enabled by CAIRNHUB_TRACE=1 in the environment when the broker starts. The lines go to standard error and
+// are exempt from the log's rate limit: at hundreds of requests a second they would crowd out the log and
+// slow the broker, so that the trace is meant for debugging and not for regular service.
 #pragma once
 #include <functional>
 #include <string>
@@ -14,20 +15,20 @@
 
 class RequestTrace {
  public:
-  using EndpointNames =
-      std::function<std::string(EndpointId)>;  // a node's name in the list; empty where unknown
-  explicit RequestTrace(EndpointNames names);
-  bool is_enabled() const { return on_; }
-  // `how`: what the client was told, or that it left; `come_back` where it was told when (0: not told).
-  void record_end(const Request& query, const char* how, Time come_back) const;
+  using EndpointNames = std::function<std::string(EndpointId)>;  // the name in the list; empty where unknown
+  explicit RequestTrace(EndpointNames endpoint_names);
+  bool is_enabled() const { return is_enabled_; }
+  // @param result      how the request ended
+  // @param retry_after as told to the client; 0: no advice
+  void record_end(const Request& request, const char* result, Time retry_after) const;
 
  private:
-  EndpointNames names_;
-  bool on_;
+  EndpointNames endpoint_names_;
+  bool is_enabled_;
 };
 
-// The line itself at `now`, without its end of line.
-std::string format_trace_line(const Request& query, const char* how, Time come_back, Time now,
-                              const RequestTrace::EndpointNames& names);
+// The line for a request that ended at `ended_at`, without the end of line.
+std::string format_trace_line(const Request& request, const char* result, Time retry_after, Time ended_at,
+                              const RequestTrace::EndpointNames& endpoint_names);
 
 }  // namespace cairnhub::dispatch
--- a/src/dispatch/traffic_account.h
+++ b/src/dispatch/traffic_account.h
@@ -1,22 +1,23 @@
-// What sends carry, for those who count it.
+// Accounting of the bytes exchanged with endpoints.
 #pragma once
 #include "policy/endpoint_state.h"
 
 namespace cairnhub::dispatch {
 
-// On whose account the bytes of a send go.
+// The request class and the zone that an attempt's bytes are charged to.
 struct TrafficAccount {
-  int request_class = -1;       // of the settings; -1: of a part that nobody knows any more
-  int zone = -1;                // where the node stood as it was sent; -1: ask where it stands
-  bool is_over_budget = false;  // it crosses zones though its op type's budget for that is spent
+  int request_class = -1;       // index in the settings; -1: the shard request is no longer known
+  int zone = -1;                // of the endpoint when the attempt was sent; -1: look it up
+  bool is_over_budget = false;  // crosses zones although the class has spent its budget for that
 };
 
-// Bytes that went to a node and came from it, heads and notes among them, as they are handed over and read.
-// What was handed over and never written, as its connection broke, is counted off again.
+// Bytes exchanged with an endpoint, frame headers and cancel messages included. Bytes are counted when they
+// are queued for writing or read; those still queued when the connection breaks are counted again, negative.
 struct TransferredBytes {
   EndpointId endpoint = 0;
   TrafficAccount account;
-  long long sent = 0, received = 0;
+  long long sent = 0;
+  long long received = 0;
 };
 
 }  // namespace cairnhub::dispatch
--- a/src/dispatch/two_phase_runner.cpp
+++ b/src/dispatch/two_phase_runner.cpp
@@ -7,219 +7,244 @@
 
 namespace cairnhub::dispatch {
 
-// An op type, and the numbers under which the decision module knows its rounds.
-struct TwoPhaseRunner::Op {
+// A request class with two phases, and the classes under which the policy knows its rounds.
+struct TwoPhaseRunner::ClassState {
   two_phase::Planner planner;
-  int match, again, fetch;
+  int match_class;
+  int rematch_class;
+  int fetch_class;
 };
 
-struct TwoPhaseRunner::Run {
-  RunId id = 0;
-  Op& op;
+struct TwoPhaseRunner::RunningQuery {
+  QueryId id = 0;
+  ClassState& class_state;
   std::string name;
-  bool client_retry = false;
-  std::unique_ptr<TwoPhaseCallbacks> client;
+  bool is_client_retry = false;
+  std::unique_ptr<TwoPhaseCallbacks> callbacks;
   two_phase::Plan plan;
-  std::vector<dispatch::Request*> open;  // by round; null once ended
-  std::size_t held = 0;                  // as counted in the book
-  Time due = kNever;
-  bool queued = false;
+  std::vector<Request*> round_requests;  // by round; null once ended
+  std::size_t memory_bytes = 0;          // as accounted for in the requests in flight
+  Time wakes_at = kNever;
+  bool is_queued = false;
 };
 
-// The client of one round: tells the plan what comes.
-class TwoPhaseRunner::Sub : public RequestCallbacks {
+// Reports the results of one round to the plan.
+class TwoPhaseRunner::RoundCallbacks : public RequestCallbacks {
  public:
-  Sub(TwoPhaseRunner& home, Run& run, int round) : home_(home), run_(run), round_(round) {}
-  ValueUse on_value(const ShardRequest& part, std::string_view value) override {
-    const auto& parts = part.request->shard_requests;
-    const auto at = std::find_if(parts.begin(), parts.end(), [&](const auto& p) { return p.get() == &part; });
-    const int block = run_.plan.round(round_).blocks[static_cast<std::size_t>(at - parts.begin())];
-    const char* wrong = run_.plan.came(round_, block, value);
-    home_.recount(run_);
-    home_.look_at(run_);
-    if (wrong) log("phases", "%s: %s", part.name.c_str(), wrong);
-    return wrong ? ValueUse::kInvalid : ValueUse::kTaken;
+  RoundCallbacks(TwoPhaseRunner& runner, RunningQuery& running, int round)
+      : runner_(runner), running_(running), round_(round) {}
+  ValueUse on_value(const ShardRequest& shard_request, std::string_view value) override {
+    const auto& shard_requests = shard_request.request->shard_requests;
+    const auto it = std::find_if(shard_requests.begin(), shard_requests.end(),
+                                 [&](const auto& candidate) { return candidate.get() == &shard_request; });
+    const int block =
+        running_.plan.round(round_).blocks[static_cast<std::size_t>(it - shard_requests.begin())];
+    const char* fault = running_.plan.came(round_, block, value);
+    runner_.update_memory(running_);
+    runner_.enqueue(running_);
+    if (fault) log("phases", "%s: %s", shard_request.name.c_str(), fault);
+    return fault ? ValueUse::kInvalid : ValueUse::kTaken;
   }
-  void on_response(const dispatch::Request& q, bool whole) override {
-    ended(q, whole ? two_phase::RoundEnd::whole : two_phase::RoundEnd::in_part, 0);
+  void on_response(const Request& request, bool is_complete) override {
+    end_round(request, is_complete ? two_phase::RoundEnd::whole : two_phase::RoundEnd::in_part, 0);
   }
-  void on_rejected(const dispatch::Request& q, Time come_back) override {
-    const bool sent = std::any_of(q.shard_requests.begin(), q.shard_requests.end(),
-                                  [](const auto& p) { return !p->attempts.empty(); });
-    ended(q, sent ? two_phase::RoundEnd::failed : two_phase::RoundEnd::pushed_back, come_back);
+  void on_rejected(const Request& request, Time retry_after) override {
+    const bool was_sent =
+        std::any_of(request.shard_requests.begin(), request.shard_requests.end(),
+                    [](const auto& shard_request) { return !shard_request->attempts.empty(); });
+    end_round(request, was_sent ? two_phase::RoundEnd::failed : two_phase::RoundEnd::pushed_back,
+              retry_after);
   }
-  void on_failed(const dispatch::Request& q) override { ended(q, two_phase::RoundEnd::failed, 0); }
-
-  // Which blocks were really asked: undrawn parts stay unsent.
-  static void note_sent(Run& run, int round, const dispatch::Request& q) {
-    const two_phase::Round& r = run.plan.round(round);
-    if (r.kind != two_phase::RoundKind::match) return;
-    for (std::size_t i = 0; i < q.shard_requests.size(); ++i)
-      if (!q.shard_requests[i]->attempts.empty()) run.plan.sent(r.blocks[i]);
+  void on_failed(const Request& request) override { end_round(request, two_phase::RoundEnd::failed, 0); }
+
+  // Tells the plan which blocks a match round was sent to: shard requests that weren't drawn stay unsent.
+  static void report_sent(RunningQuery& running, int round_index, const Request& request) {
+    const two_phase::Round& round = running.plan.round(round_index);
+    if (round.kind != two_phase::RoundKind::match) return;
+    for (std::size_t i = 0; i < request.shard_requests.size(); ++i) {
+      if (!request.shard_requests[i]->attempts.empty()) running.plan.sent(round.blocks[i]);
+    }
   }
 
  private:
-  void ended(const dispatch::Request& q, two_phase::RoundEnd how, Time come_back) {
-    note_sent(run_, round_, q);
-    run_.open[round_] = nullptr;
-    run_.plan.round_ended(now(), round_, how, come_back);
-    home_.look_at(run_);
+  void end_round(const Request& request, two_phase::RoundEnd end, Time retry_after) {
+    report_sent(running_, round_, request);
+    running_.round_requests[round_] = nullptr;
+    running_.plan.round_ended(now(), round_, end, retry_after);
+    runner_.enqueue(running_);
   }
-  TwoPhaseRunner& home_;
-  Run& run_;
+  TwoPhaseRunner& runner_;
+  RunningQuery& running_;
   int round_;
 };
 
-TwoPhaseRunner::TwoPhaseRunner(event_base* base, RequestPolicy& policy, InFlightRequests& book,
-                               RequestDispatcher& route, int op_types)
-    : policy_(policy), book_(book), route_(route), op_types_(op_types), wake_(base, [this] {
-        while (!wakes_.empty() && wakes_.begin()->first <= now()) {
-          Run& run = *runs_.at(wakes_.begin()->second);
-          sleep(run, kNever);
-          look_at(run);
+TwoPhaseRunner::TwoPhaseRunner(event_base* base, RequestPolicy& policy, InFlightRequests& requests,
+                               RequestDispatcher& dispatcher, int class_count)
+    : policy_(policy),
+      requests_(requests),
+      dispatcher_(dispatcher),
+      class_count_(class_count),
+      wake_timer_(base, [this] {
+        while (!wake_ups_.empty() && wake_ups_.begin()->first <= now()) {
+          RunningQuery& running = *running_.at(wake_ups_.begin()->second);
+          set_wake_up(running, kNever);
+          enqueue(running);
         }
-        if (!wakes_.empty()) wake_.start(wakes_.begin()->first - now());
-        route_.run_actions();
+        if (!wake_ups_.empty()) wake_timer_.start(wake_ups_.begin()->first - now());
+        dispatcher_.run_actions();
       }) {}
 
 TwoPhaseRunner::~TwoPhaseRunner() = default;
 
-void TwoPhaseRunner::add_class(int op_type, const RequestClass& op, const two_phase::Terms& terms) {
-  // Each round has a time of its own, which ends it; until then it's worth going on.
-  RequestClass derived = op;
-  derived.late_value_share = 1;
-  derived.request_timeout = 0;  // a round that comes with little time is no client's later try
-  derived.second_step_shard_requests = 0;
-  ops_[op_type] = std::make_unique<Op>(Op{two_phase::Planner(terms), 0, 0, 0});
-  Op& mine = *ops_[op_type];
-  const auto add = [&](const RequestClass& o) {
-    policy_.add_request_class(o);
-    route_.add_derived_class(op_types_, op_type);
-    return op_types_++;
+void TwoPhaseRunner::add_class(int request_class, const RequestClass& definition,
+                               const two_phase::Terms& terms) {
+  // Each round has a time limit of its own that ends it; until then a late response is worth as much.
+  RequestClass round_class = definition;
+  round_class.late_value_share = 1;
+  round_class.request_timeout = 0;  // a round with little time left is not the retry of a client
+  round_class.second_step_shard_requests = 0;
+  classes_[request_class] = std::make_unique<ClassState>(ClassState{two_phase::Planner(terms), 0, 0, 0});
+  ClassState& state = *classes_[request_class];
+  const auto add_round_class = [&](const RequestClass& added) {
+    policy_.add_request_class(added);
+    dispatcher_.add_derived_class(class_count_, request_class);
+    return class_count_++;
   };
-  mine.match = add(derived);
-  // Of one block each; whatever comes of them is taken, and the plan judges the whole.
-  derived.required_share = derived.min_answer_share = 1;
-  mine.again = add(derived);
-  mine.fetch = add(derived);
-  limit_class(op_type, route_.limits(op_type));
+  state.match_class = add_round_class(round_class);
+  // Rounds of one block each: a response is complete with that block, and the plan judges the query as a
+  // whole.
+  round_class.required_share = 1;
+  round_class.min_answer_share = 1;
+  state.rematch_class = add_round_class(round_class);
+  state.fetch_class = add_round_class(round_class);
+  limit_class(request_class, dispatcher_.limits(request_class));
 }
 
-void TwoPhaseRunner::limit_class(int op_type, const RequestClassLimits& limits) {
-  const auto it = ops_.find(op_type);
-  if (it == ops_.end()) return;
-  Op& op = *it->second;
-  op.planner.limit(limits.max_latency_objective, limits.min_answer_share);
-  policy_.limit_request_class(op.match, limits.max_latency_objective, limits.min_answer_share);
-  for (const int one_block : {op.again, op.fetch})
-    policy_.limit_request_class(one_block, limits.max_latency_objective, 0);
+void TwoPhaseRunner::limit_class(int request_class, const RequestClassLimits& limits) {
+  const auto it = classes_.find(request_class);
+  if (it == classes_.end()) return;
+  ClassState& state = *it->second;
+  state.planner.limit(limits.max_latency_objective, limits.min_answer_share);
+  policy_.limit_request_class(state.match_class, limits.max_latency_objective, limits.min_answer_share);
+  for (const int one_block_class : {state.rematch_class, state.fetch_class}) {
+    policy_.limit_request_class(one_block_class, limits.max_latency_objective, 0);
+  }
 }
 
-std::function<void()> TwoPhaseRunner::start(const std::string& name, int op_type, bool client_retry,
+std::function<void()> TwoPhaseRunner::start(const std::string& name, int request_class, bool is_client_retry,
                                             two_phase::Query query,
-                                            std::unique_ptr<TwoPhaseCallbacks> client) {
-  const RunId id = ++last_id_;
-  Op& op = *ops_.at(op_type);
-  auto run = std::make_unique<Run>(Run{id,
-                                       op,
-                                       name,
-                                       client_retry,
-                                       std::move(client),
-                                       two_phase::Plan(op.planner, std::move(query), now()),
-                                       {}});
+                                            std::unique_ptr<TwoPhaseCallbacks> callbacks) {
+  const QueryId id = ++last_id_;
+  ClassState& state = *classes_.at(request_class);
+  auto running =
+      std::make_unique<RunningQuery>(RunningQuery{id,
+                                                  state,
+                                                  name,
+                                                  is_client_retry,
+                                                  std::move(callbacks),
+                                                  two_phase::Plan(state.planner, std::move(query), now()),
+                                                  {}});
   names_.insert(name);
-  recount(*run);
-  look_at(*(runs_[id] = std::move(run)));
-  route_.run_actions();
-  return [this, id] { left(id); };
+  update_memory(*running);
+  enqueue(*(running_[id] = std::move(running)));
+  dispatcher_.run_actions();
+  return [this, id] { abandon(id); };
 }
 
-void TwoPhaseRunner::look_at(Run& run) {
-  if (!std::exchange(run.queued, true)) agenda_.push_back(run.id);
+void TwoPhaseRunner::enqueue(RunningQuery& running) {
+  if (!std::exchange(running.is_queued, true)) queue_.push_back(running.id);
 }
 
-// What plans hold counts towards the bound on what is in hand.
-void TwoPhaseRunner::recount(Run& run) {
-  const std::size_t before = std::exchange(run.held, run.plan.bytes());
-  book_.adjust_memory(before, run.held);
+// What plans hold counts towards the memory limit of the requests in flight.
+void TwoPhaseRunner::update_memory(RunningQuery& running) {
+  const std::size_t before = std::exchange(running.memory_bytes, running.plan.bytes());
+  requests_.adjust_memory(before, running.memory_bytes);
 }
 
 bool TwoPhaseRunner::advance_plans() {
-  if (agenda_.empty()) return false;
-  while (!agenda_.empty()) {
-    const auto it = runs_.find(agenda_.front());
-    agenda_.pop_front();
-    if (it != runs_.end()) pull(*it->second);
+  if (queue_.empty()) return false;
+  while (!queue_.empty()) {
+    const auto it = running_.find(queue_.front());
+    queue_.pop_front();
+    if (it != running_.end()) advance(*it->second);
   }
   return true;
 }
 
-void TwoPhaseRunner::pull(Run& run) {
-  run.queued = false;
-  while (const auto d = run.plan.next(now())) {
-    if (d->kind != two_phase::Decision::Kind::ask) return finish(run, *d);
-    ask(run, d->round);
+void TwoPhaseRunner::advance(RunningQuery& running) {
+  running.is_queued = false;
+  while (const auto decision = running.plan.next(now())) {
+    if (decision->kind != two_phase::Decision::Kind::ask) return finish(running, *decision);
+    start_round(running, decision->round);
   }
-  sleep(run, run.plan.due(now()));
+  set_wake_up(running, running.plan.due(now()));
 }
 
-// The one wake-up that a run has. kNever: none.
-void TwoPhaseRunner::sleep(Run& run, Time until) {
-  if (run.due == until) return;
-  if (run.due != kNever) wakes_.erase({run.due, run.id});
-  if ((run.due = until) == kNever) return;
-  wakes_.emplace(until, run.id);
-  wake_.start(wakes_.begin()->first - now());
+// Sets the query's only wake-up. kNever: none.
+void TwoPhaseRunner::set_wake_up(RunningQuery& running, Time wakes_at) {
+  if (running.wakes_at == wakes_at) return;
+  if (running.wakes_at != kNever) wake_ups_.erase({running.wakes_at, running.id});
+  running.wakes_at = wakes_at;
+  if (running.wakes_at == kNever) return;
+  wake_ups_.emplace(wakes_at, running.id);
+  wake_timer_.start(wake_ups_.begin()->first - now());
 }
 
-void TwoPhaseRunner::ask(Run& run, int round) {
-  const two_phase::Round& r = run.plan.round(round);
-  auto q = std::make_unique<dispatch::Request>();
-  q->name = run.name + "/" + std::to_string(round);
-  while (book_.contains(q->name)) q->name += '\'';  // Danger: another client may have chosen the very name
-  q->body = run.plan.take_text(round);
-  q->request_class = r.kind == two_phase::RoundKind::match   ? run.op.match
-                     : r.kind == two_phase::RoundKind::again ? run.op.again
-                                                             : run.op.fetch;
-  q->is_client_retry = run.client_retry && r.kind == two_phase::RoundKind::match;
-  q->time_left = r.span;
-  q->max_value_bytes = SIZE_MAX;  // the plan takes them, and the memory bound holds
-  for (const int b : r.blocks) {
-    auto p = std::make_unique<ShardRequest>();
-    p->shard = run.plan.block(b).shard;
-    p->weight = r.kind == two_phase::RoundKind::match ? run.plan.block(b).weight : 1;
-    p->name = q->name + "." + std::to_string(p->shard);
-    q->shard_requests.push_back(std::move(p));
+void TwoPhaseRunner::start_round(RunningQuery& running, int round_index) {
+  const two_phase::Round& round = running.plan.round(round_index);
+  const ClassState& state = running.class_state;
+  const bool is_match = round.kind == two_phase::RoundKind::match;
+  auto request = std::make_unique<Request>();
+  request->name = running.name + "/" + std::to_string(round_index);
+  while (requests_.contains(request->name)) request->name += '\'';  // a client may have chosen the same name
+  request->body = running.plan.take_text(round_index);
+  request->request_class = is_match                                    ? state.match_class
+                           : round.kind == two_phase::RoundKind::again ? state.rematch_class
+                                                                       : state.fetch_class;
+  request->is_client_retry = running.is_client_retry && is_match;
+  request->time_left = round.span;
+  request->max_value_bytes = SIZE_MAX;  // the plan takes the values, and the memory limit applies to it
+  for (const int block : round.blocks) {
+    auto shard_request = std::make_unique<ShardRequest>();
+    shard_request->shard = running.plan.block(block).shard;
+    shard_request->weight = is_match ? running.plan.block(block).weight : 1;
+    shard_request->name = request->name + "." + std::to_string(shard_request->shard);
+    request->shard_requests.push_back(std::move(shard_request));
   }
-  q->callbacks = std::make_unique<Sub>(*this, run, round);
-  run.open.resize(static_cast<std::size_t>(round) + 1);
-  run.open[round] = q.get();
-  route_.start_request(std::move(q));
+  request->callbacks = std::make_unique<RoundCallbacks>(*this, running, round_index);
+  running.round_requests.resize(static_cast<std::size_t>(round_index) + 1);
+  running.round_requests[round_index] = request.get();
+  dispatcher_.start_request(std::move(request));
 }
 
-// Rule 1: what is still out of any round ends with the answer, within the turn that gives it.
-void TwoPhaseRunner::finish(Run& run, const two_phase::Decision& d) {
-  for (std::size_t i = 0; i < run.open.size(); ++i)
-    if (run.open[i]) Sub::note_sent(run, static_cast<int>(i), *run.open[i]);
-  const auto client = std::move(run.client);
-  if (d.kind == two_phase::Decision::Kind::answer)
-    client->on_response(run.plan, d.whole);
-  else
-    client->on_rejected(d.span);
-  const auto kept = std::move(runs_.extract(run.id).mapped());
+// Ends the rounds still open in the same turn as the response: none of their attempts may be sent after it.
+void TwoPhaseRunner::finish(RunningQuery& running, const two_phase::Decision& decision) {
+  for (std::size_t i = 0; i < running.round_requests.size(); ++i) {
+    if (running.round_requests[i]) {
+      RoundCallbacks::report_sent(running, static_cast<int>(i), *running.round_requests[i]);
+    }
+  }
+  const auto callbacks = std::move(running.callbacks);
+  if (decision.kind == two_phase::Decision::Kind::answer) {
+    callbacks->on_response(running.plan, decision.whole);
+  } else {
+    callbacks->on_rejected(decision.span);
+  }
+  const auto kept = std::move(running_.extract(running.id).mapped());
   stop(*kept);
 }
 
-void TwoPhaseRunner::stop(Run& run) {
-  names_.erase(run.name);
-  sleep(run, kNever);
-  for (dispatch::Request*& q : run.open)
-    if (q) route_.abandon_request(std::exchange(q, nullptr)->id);
-  book_.adjust_memory(run.held, 0);
+void TwoPhaseRunner::stop(RunningQuery& running) {
+  names_.erase(running.name);
+  set_wake_up(running, kNever);
+  for (Request*& request : running.round_requests) {
+    if (request) dispatcher_.abandon_request(std::exchange(request, nullptr)->id);
+  }
+  requests_.adjust_memory(running.memory_bytes, 0);
 }
 
-void TwoPhaseRunner::left(RunId id) {
-  auto node = runs_.extract(id);
+void TwoPhaseRunner::abandon(QueryId id) {
+  auto node = running_.extract(id);
   if (!node.empty()) stop(*node.mapped());
 }
 
--- a/src/dispatch/two_phase_runner.h
+++ b/src/dispatch/two_phase_runner.h
@@ -1,6 +1,6 @@
-// Runs two-phase multigets: carries out what their plans (two_phase/query_plan.h) ask for, each round as a
-// multiget of its own through route and the decision module, and tells the plans what came of it. Chooses
-// nothing.
+// Runs two-phase queries: carries out what their plans (two_phase/query_plan.h) ask for, each round as a
+// request of its own through the dispatcher and the policy, and reports the results to the plans. Makes no
+// choices of its own.
 #pragma once
 #include <deque>
 #include <functional>
@@ -17,61 +17,68 @@
 
 namespace cairnhub::dispatch {
 
-// Who waits for a two-phase multiget. A front stands behind this. One of the two is called, once.
+// What a frontend does with the end of a two-phase query. One of the two is called, once.
 class TwoPhaseCallbacks {
  public:
   virtual ~TwoPhaseCallbacks() = default;
-  virtual void on_response(const two_phase::Plan& plan, bool whole) = 0;
-  virtual void on_rejected(Time come_back) = 0;  // 0 = no advice; trying again is harmless
+  virtual void on_response(const two_phase::Plan& plan, bool is_complete) = 0;
+  // A retry is harmless. @param retry_after 0: no advice
+  virtual void on_rejected(Time retry_after) = 0;
 };
 
 class TwoPhaseRunner {
  public:
-  // `op_types`: how many the settings have told the policy; those of rounds come after them.
-  TwoPhaseRunner(event_base* base, RequestPolicy& policy, InFlightRequests& book, RequestDispatcher& route,
-                 int op_types);
+  // @param class_count how many classes the settings have added to the policy; those of rounds come after
+  // them
+  TwoPhaseRunner(event_base* base, RequestPolicy& policy, InFlightRequests& requests,
+                 RequestDispatcher& dispatcher, int class_count);
   ~TwoPhaseRunner();
 
-  // Lets multigets of an op type have two phases; once each, after the settings' own op types. Only retriable
-  // ones: a plan may ask a block again.
-  void add_class(int op_type, const RequestClass& op, const two_phase::Terms& terms);
-  void limit_class(int op_type, const RequestClassLimits& limits);  // as the policy's of that op type
-  bool is_allowed(int op_type) const { return ops_.count(op_type) != 0 && route_.may_run_two_phase(op_type); }
-  int class_count() const { return op_types_; }  // of the policy, those of rounds included
+  // Allows two-phase queries of a request class. Call it once for each such class, after the settings' own
+  // classes have been added. The class must allow retries: a plan may query a shard again.
+  void add_class(int request_class, const RequestClass& definition, const two_phase::Terms& terms);
+  // Tightens a class, as RequestPolicy::limit_request_class() does.
+  void limit_class(int request_class, const RequestClassLimits& limits);
+  bool is_allowed(int request_class) const {
+    return classes_.count(request_class) != 0 && dispatcher_.may_run_two_phase(request_class);
+  }
+  int class_count() const { return class_count_; }  // of the policy, those of rounds included
+  // Whether a query of the name awaits its response.
   bool contains(const std::string& name) const { return names_.count(name) != 0; }
 
-  // Returns what to call should the client leave.
-  std::function<void()> start(const std::string& name, int op_type, bool client_retry, two_phase::Query query,
-                              std::unique_ptr<TwoPhaseCallbacks> client);
-  // At the end of each turn: what follows for the plans that were told something. False where nothing did.
+  // @return what to call should the client leave
+  std::function<void()> start(const std::string& name, int request_class, bool is_client_retry,
+                              two_phase::Query query, std::unique_ptr<TwoPhaseCallbacks> callbacks);
+  // Carries on the plans that have had input. Call it at the end of each turn.
+  // @return whether there were any
   bool advance_plans();
 
  private:
-  struct Op;
-  struct Run;
-  class Sub;
-  using RunId = std::uint64_t;
+  struct ClassState;
+  struct RunningQuery;
+  class RoundCallbacks;
+  using QueryId = std::uint64_t;
 
-  void pull(Run& run);
-  void ask(Run& run, int round);
-  void finish(Run& run, const two_phase::Decision& d);
-  void stop(Run& run);
-  void left(RunId id);
-  void look_at(Run& run);
-  void recount(Run& run);
-  void sleep(Run& run, Time until);
+  void advance(RunningQuery& running);
+  void start_round(RunningQuery& running, int round);
+  void finish(RunningQuery& running, const two_phase::Decision& decision);
+  void stop(RunningQuery& running);
+  void abandon(QueryId id);
+  void enqueue(RunningQuery& running);
+  void update_memory(RunningQuery& running);
+  void set_wake_up(RunningQuery& running, Time wakes_at);
 
   RequestPolicy& policy_;
-  InFlightRequests& book_;
-  RequestDispatcher& route_;
-  int op_types_;  // of the policy, those added here included
-  std::map<int, std::unique_ptr<Op>> ops_;
-  std::map<RunId, std::unique_ptr<Run>> runs_;
+  InFlightRequests& requests_;
+  RequestDispatcher& dispatcher_;
+  int class_count_;  // of the policy, those added here included
+  std::map<int, std::unique_ptr<ClassState>> classes_;
+  std::map<QueryId, std::unique_ptr<RunningQuery>> running_;
   std::set<std::string> names_;
-  std::deque<RunId> agenda_;
-  std::set<std::pair<Time, RunId>> wakes_;
-  Timer wake_;
-  RunId last_id_ = 0;
+  std::deque<QueryId> queue_;  // queries whose plans have had input
+  std::set<std::pair<Time, QueryId>> wake_ups_;
+  Timer wake_timer_;
+  QueryId last_id_ = 0;
 };
 
 }  // namespace cairnhub::dispatch
--- a/src/server/broker.cpp
+++ b/src/server/broker.cpp
@@ -17,230 +17,279 @@
 
 namespace {
 
-// For so long after a stop is asked for, clients may still come.
-constexpr Time kStillComing = 450 * kSecond / 1000;
-constexpr Time kLookAgain = 5 * kSecond / 1000;
-// A flood of new connections keeps the listener open for so many turns of the loop at most.
-constexpr int kBacklogTurns = 50;
-// An idle connection to a node is let go after this share of the time after which the node would.
-constexpr double kIdleShare = 0.75;
-// Of the descriptors, for the loop, the log, the watch and the listener, with some to spare; of the rest a
-// quarter is for nodes. Of all an eighth may be held by idle clients.
-constexpr std::size_t kOwnDescriptors = 24, kNodeShare = 4, kIdleClients = 8;
-// Of the memory, what requests that aren't whole yet may take.
-constexpr std::size_t kUnfinishedShare = 8;
-
-backend::SendLimits send_limits(const dispatch::Config& c) {
-  const auto& s = c.settings;
-  const Time idle = static_cast<Time>(kIdleShare * static_cast<double>(s.span("ceilings.keepalive", 10)));
-  return {std::max(1, s.whole("ceilings.multiplex", 1)), std::max(1, s.whole("family-info.parts-a-call", 1)),
-          s.span("ceilings.connect-timeout", 1), idle, (c.max_descriptors - kOwnDescriptors) / kNodeShare};
+// Clients may still connect for this long after a shutdown is requested.
+constexpr Time kShutdownGracePeriod = 450 * kSecond / 1000;
+constexpr Time kShutdownPollInterval = 5 * kSecond / 1000;
+// A flood of new connections keeps the listener open for at most this many turns of the event loop.
+constexpr int kMaxBacklogTurns = 50;
+// An idle connection to an endpoint is closed after this share of the time after which the endpoint would
+// close it.
+constexpr double kIdleTimeShare = 0.75;
+// Reserved for the event loop, the log, the discovery watch and the listener, with some to spare.
+constexpr std::size_t kReservedDescriptors = 24;
+// One in this many of the other descriptors is for endpoints.
+constexpr std::size_t kEndpointDescriptorDivisor = 4;
+// One in this many of all descriptors may be held by idle clients.
+constexpr std::size_t kIdleClientDivisor = 8;
+// One byte in this many of the memory may be taken by requests that aren't complete yet.
+constexpr std::size_t kIncompleteRequestDivisor = 8;
+// Limits the text of a discovery answer, also as a fraction of the memory: parsed, it takes several times as
+// much.
+constexpr std::size_t kMaxListBytes = std::size_t{4} << 20;
+constexpr std::size_t kListMemoryDivisor = 32;
+
+backend::SendLimits send_limits(const dispatch::Config& config) {
+  const auto& settings = config.settings;
+  const Time idle_time =
+      static_cast<Time>(kIdleTimeShare * static_cast<double>(settings.span("ceilings.keepalive", 10)));
+  return {std::max(1, settings.whole("ceilings.multiplex", 1)),
+          std::max(1, settings.whole("family-info.parts-a-call", 1)),
+          settings.span("ceilings.connect-timeout", 1), idle_time,
+          (config.max_descriptors - kReservedDescriptors) / kEndpointDescriptorDivisor};
 }
-backend::SearchLimits search_limits(const dispatch::Config& c, const BrokerOptions& extras) {
-  const backend::SendLimits frames = send_limits(c);
-  return {static_cast<std::size_t>(frames.calls_a_connection), frames.connections,
-          extras.max_search_body_bytes, frames.idle_at_most};
+
+backend::SearchLimits search_limits(const dispatch::Config& config, const BrokerOptions& options) {
+  const backend::SendLimits limits = send_limits(config);
+  return {static_cast<std::size_t>(limits.calls_a_connection), limits.connections,
+          options.max_search_body_bytes, limits.idle_at_most};
 }
-// Of the memory, what an answer of discovery may take as text; read, it takes several times that.
-constexpr std::size_t kLargestList = std::size_t{4} << 20, kListShare = 32;
-// Where the list must be subscribed to, each call loads a service that all brokers share.
-dispatch::DiscoveryWatchTiming watch_timing(const settings::Settings& s) {
-  return s.text("registry-mode", "automatic") == "subscribe" ? dispatch::DiscoveryWatchTiming::polled()
-                                                             : dispatch::DiscoveryWatchTiming::pushed();
+
+// Where the list must be subscribed to, one service answers all brokers, and each request loads it.
+dispatch::DiscoveryWatchTiming watch_timing(const settings::Settings& settings) {
+  return settings.text("registry-mode", "automatic") == "subscribe"
+             ? dispatch::DiscoveryWatchTiming::polled()
+             : dispatch::DiscoveryWatchTiming::pushed();
 }
-int pause_at(const dispatch::Config& c) {
-  return static_cast<int>(c.max_descriptors - kOwnDescriptors / 2 -
-                          (c.max_descriptors - kOwnDescriptors) / kNodeShare);
+
+// The descriptor from which on no further client connection is accepted.
+int accept_limit(const dispatch::Config& config) {
+  return static_cast<int>(config.max_descriptors - kReservedDescriptors / 2 -
+                          (config.max_descriptors - kReservedDescriptors) / kEndpointDescriptorDivisor);
 }
 
 }  // namespace
 
-struct Broker::Stages {
-  const int op_types;  // of the settings
+struct Broker::Parts {
+  const int class_count;  // of the settings
   RequestPolicy policy;
-  dispatch::InFlightRequests book;
+  dispatch::InFlightRequests requests;
   backend::Sender sender;
   backend::Searcher searcher;
-  backend::MixedHosts hosts;
-  dispatch::RequestDispatcher route;
-  dispatch::TwoPhaseRunner phased;
-  dispatch::EndpointRegistry members;
-  frontend::platform::Admit admit;
+  backend::MixedHosts backends;
+  dispatch::RequestDispatcher dispatcher;
+  dispatch::TwoPhaseRunner two_phase_runner;
+  dispatch::EndpointRegistry registry;
+  frontend::platform::Admit request_parser;
   dispatch::DiscoveryWatch watch;
-  frontend::TakeIn take_in;
-  dispatch::Config in_force;
+  frontend::TakeIn http_server;
+  dispatch::Config config;  // in force
   std::function<void()> done;
-  Timer closing;
-  bool door_closed = false;
-  int backlog_turns = 0;  // that the listener was kept open for
-  dispatch::ClusterControl* common = nullptr;
-  std::unordered_map<EndpointId, int> out;  // sends, where something is in common; looked up, never walked
-
-  Stages(event_base* base, const dispatch::Config& c, const BrokerOptions& extras)
-      : op_types(static_cast<int>(settings::op_types(c.settings).size())),
-        policy(c.seed),
-        book(policy, c.memory_bytes),
+  Timer shutdown_timer;
+  bool has_stopped_accepting = false;
+  int backlog_turns = 0;  // for which the listener was kept open
+  dispatch::ClusterControl* cluster = nullptr;
+  std::unordered_map<EndpointId, int>
+      attempts_in_flight;  // where there is a cluster; must not be iterated over
+
+  Parts(event_base* base, const dispatch::Config& initial, const BrokerOptions& options)
+      : class_count(static_cast<int>(settings::op_types(initial.settings).size())),
+        policy(initial.seed),
+        requests(policy, initial.memory_bytes),
         sender(
-            base, send_limits(c),
-            [this](dispatch::Attempt& e, const dispatch::AttemptResult& r) { ended(e, r); },
-            [this] { route.run_actions(); }),
+            base, send_limits(initial),
+            [this](dispatch::Attempt& attempt, const dispatch::AttemptResult& result) {
+              record_attempt_end(attempt, result);
+            },
+            [this] { dispatcher.run_actions(); }),
         searcher(
-            base, search_limits(c, extras),
-            [this](dispatch::Attempt& e, const dispatch::AttemptResult& r) { ended(e, r); },
-            [this] { route.run_actions(); }),
-        hosts(sender, searcher),
-        route(
-            base, policy, book, hosts,
+            base, search_limits(initial, options),
+            [this](dispatch::Attempt& attempt, const dispatch::AttemptResult& result) {
+              record_attempt_end(attempt, result);
+            },
+            [this] { dispatcher.run_actions(); }),
+        backends(sender, searcher),
+        dispatcher(
+            base, policy, requests, backends,
             [this](EndpointId id) {
-              members.forget(id);
-              hosts.forget_endpoint(id);
+              registry.forget(id);
+              backends.forget_endpoint(id);
             },
-            [this] { return phased.advance_plans(); }, [this](EndpointId id) { return members.name_of(id); }),
-        phased(base, policy, book, route, op_types),
-        members(policy,
-                [this](EndpointId id, const dispatch::EndpointRegistry::Entry& e) {
-                  hosts.flavored(id, e.flavor);
-                  hosts.update_endpoint(id, e.id, e.address, e.state);
-                }),
-        admit(c.settings, book, route),
-        watch(base, c.discovery_address, watch_timing(c.settings), c.seed,
-              std::min(kLargestList, c.memory_bytes / kListShare), members,
-              [this](bool told) {
-                if (!told) policy.list_failed(now());
-                if (members.ready_count() > 0) take_in.can_serve();
-                route.run_actions();
+            [this] { return two_phase_runner.advance_plans(); },
+            [this](EndpointId id) { return registry.name_of(id); }),
+        two_phase_runner(base, policy, requests, dispatcher, class_count),
+        registry(policy,
+                 [this](EndpointId id, const dispatch::EndpointRegistry::Entry& entry) {
+                   backends.flavored(id, entry.flavor);
+                   backends.update_endpoint(id, entry.id, entry.address, entry.state);
+                 }),
+        request_parser(initial.settings, requests, dispatcher),
+        watch(base, initial.discovery_address, watch_timing(initial.settings), initial.seed,
+              std::min(kMaxListBytes, initial.memory_bytes / kListMemoryDivisor), registry,
+              [this](bool is_updated) {
+                if (!is_updated) policy.list_failed(now());
+                if (registry.ready_count() > 0) http_server.can_serve();
+                dispatcher.run_actions();
               }),
-        take_in(base, c.listen_address, pause_at(c), c.max_descriptors / kIdleClients,
-                c.memory_bytes / kUnfinishedShare, admit, route),
-        in_force(c),
-        closing(base, [this] { close(); }) {
-    settings::apply(c.settings, policy);
-    route.set_departure_check([this] { take_in.tell_departures(); });
-    hosts.set_before_write([this] {
-      route.refresh_cluster_rules();
-      route.check_departures();
+        http_server(base, initial.listen_address, accept_limit(initial),
+                    initial.max_descriptors / kIdleClientDivisor,
+                    initial.memory_bytes / kIncompleteRequestDivisor, request_parser, dispatcher),
+        config(initial),
+        shutdown_timer(base, [this] { continue_shutdown(); }) {
+    settings::apply(initial.settings, policy);
+    dispatcher.set_departure_check([this] { http_server.tell_departures(); });
+    backends.set_before_write([this] {
+      dispatcher.refresh_cluster_rules();
+      dispatcher.check_departures();
     });
-    if (extras.cluster_control) {
-      common = extras.cluster_control;
-      members.set_cluster_control(*extras.cluster_control);
-      const Time come_back =
-          c.settings.flag("ceilings.retry-after", false) ? c.settings.span("ceilings.max-retry-after", 0) : 0;
-      hosts.set_byte_counter([this](const dispatch::TransferredBytes& c) { carried(c); });
-      route.set_cluster_control(
-          *extras.cluster_control,
+    if (options.cluster_control) {
+      cluster = options.cluster_control;
+      registry.set_cluster_control(*options.cluster_control);
+      const Time retry_after = initial.settings.flag("ceilings.retry-after", false)
+                                   ? initial.settings.span("ceilings.max-retry-after", 0)
+                                   : 0;
+      backends.set_byte_counter([this](const dispatch::TransferredBytes& bytes) { record_bytes(bytes); });
+      dispatcher.set_cluster_control(
+          *options.cluster_control,
           {[this] {
-             const auto& s = in_force.settings;
-             policy.set_attempts(std::min(s.whole("ceilings.try-limit", 1), common->max_attempts()),
-                                 s.flag("ceilings.second-copies", false) && common->may_hedge(),
-                                 s.flag("ceilings.cancel", false));
-             for (int i = 0; i < op_types; ++i) {
-               const dispatch::RequestClassLimits& l = common->limits(i);
-               policy.limit_request_class(i, l.max_latency_objective, l.min_answer_share);
-               phased.limit_class(i, l);
+             const auto& settings = config.settings;
+             policy.set_attempts(std::min(settings.whole("ceilings.try-limit", 1), cluster->max_attempts()),
+                                 settings.flag("ceilings.second-copies", false) && cluster->may_hedge(),
+                                 settings.flag("ceilings.cancel", false));
+             for (int i = 0; i < class_count; ++i) {
+               const dispatch::RequestClassLimits& limits = cluster->limits(i);
+               policy.limit_request_class(i, limits.max_latency_objective, limits.min_answer_share);
+               two_phase_runner.limit_class(i, limits);
              }
-             keep_in_regions();
-             policy.limit_zones(common->zones(), common->zone_step(), common->exploration_share());
-             members.update_withheld();
+             apply_region_rules();
+             policy.limit_zones(cluster->zones(), cluster->zone_step(), cluster->exploration_share());
+             registry.update_withheld();
            },
-           [this] { keep_near(); },
-           [this](dispatch::Attempt& e) {
-             e.account = {route.base_class(e.shard_request->request->request_class),
-                          members.zone_of(e.endpoint), false};
-             ++out[e.endpoint];
-             e.account.is_over_budget = common->record_attempt(e.account.zone, e.account.request_class);
-             keep_near();
+           [this] { apply_zone_budgets(); },
+           [this](dispatch::Attempt& attempt) {
+             attempt.account = {dispatcher.base_class(attempt.shard_request->request->request_class),
+                                registry.zone_of(attempt.endpoint), false};
+             ++attempts_in_flight[attempt.endpoint];
+             attempt.account.is_over_budget =
+                 cluster->record_attempt(attempt.account.zone, attempt.account.request_class);
+             apply_zone_budgets();
            },
-           come_back});
+           retry_after});
+    }
+    backends.set_flavor(options.search_flavor);
+    for (const auto& two_phase : options.two_phase_classes) {
+      two_phase_runner.add_class(two_phase.request_class, two_phase.definition, two_phase.terms);
     }
-    hosts.set_flavor(extras.search_flavor);
-    for (const auto& t : extras.two_phase_classes) phased.add_class(t.request_class, t.definition, t.terms);
-    if (common) keep_in_regions();
+    if (cluster) apply_region_rules();
     policy.start();
-    if (!c.known_endpoints.empty())
-      if (const char* wrong = members.apply_list(c.known_endpoints))
-        log("discovery", "the list in the configuration: %s", wrong);
-    if (members.ready_count() > 0) take_in.can_serve();
-    route.run_actions();
+    if (!initial.known_endpoints.empty()) {
+      if (const char* fault = registry.apply_list(initial.known_endpoints)) {
+        log("discovery", "the endpoint list in the configuration is not used: %s", fault);
+      }
+    }
+    if (registry.ready_count() > 0) http_server.can_serve();
+    dispatcher.run_actions();
     watch.request_list();
   }
 
-  void ended(dispatch::Attempt& e, const dispatch::AttemptResult& r) {
-    // Danger: the book forgets a multiget with its last send, and the attempt with it.
-    const EndpointId node = e.endpoint;
-    const Time latency = now() - e.sent_at;
-    const dispatch::TrafficAccount whose = e.account;
-    const AttemptOutcome how = book.record_attempt_end(e, r);
-    if (!common) return;
-    if (const auto it = out.find(node); it != out.end() && --it->second == 0) out.erase(it);
-    common->record_attempt_end(whose, node, how, latency);
+  void record_attempt_end(dispatch::Attempt& attempt, const dispatch::AttemptResult& result) {
+    // Copied: a request is destroyed with its last attempt, and the attempt with it.
+    const EndpointId endpoint = attempt.endpoint;
+    const Time latency = now() - attempt.sent_at;
+    const dispatch::TrafficAccount account = attempt.account;
+    const AttemptOutcome outcome = requests.record_attempt_end(attempt, result);
+    if (!cluster) return;
+    if (const auto it = attempts_in_flight.find(endpoint);
+        it != attempts_in_flight.end() && --it->second == 0) {
+      attempts_in_flight.erase(it);
+    }
+    cluster->record_attempt_end(account, endpoint, outcome, latency);
   }
-  void carried(dispatch::TransferredBytes c) {
-    if (c.account.zone < 0) c.account.zone = members.zone_of(c.endpoint);
-    common->record_bytes(c);
+  void record_bytes(dispatch::TransferredBytes bytes) {
+    if (bytes.account.zone < 0) bytes.account.zone = registry.zone_of(bytes.endpoint);
+    cluster->record_bytes(bytes);
   }
-  // Rounds of plans too, each with the op type it comes from.
-  void each_op_type(const std::function<void(int, int)>& what) {
-    for (int i = 0; i < phased.class_count(); ++i) what(i, route.base_class(i));
+  // Calls `apply` with each request class, the classes of two-phase rounds included, and its base class.
+  void for_each_class(const std::function<void(int, int)>& apply) {
+    for (int i = 0; i < two_phase_runner.class_count(); ++i) apply(i, dispatcher.base_class(i));
   }
-  void keep_in_regions() {
-    each_op_type([this](int i, int from) { policy.keep_in_region(i, common->stays_in_region(from)); });
+  void apply_region_rules() {
+    for_each_class([this](int request_class, int base_class) {
+      policy.keep_in_region(request_class, cluster->stays_in_region(base_class));
+    });
   }
-  void keep_near() {
-    if (!common->has_byte_budgets()) return;
-    each_op_type([this](int i, int from) { policy.keep_in_zone(i, common->stays_in_zone(from)); });
+  void apply_zone_budgets() {
+    if (!cluster->has_byte_budgets()) return;
+    for_each_class([this](int request_class, int base_class) {
+      policy.keep_in_zone(request_class, cluster->stays_in_zone(base_class));
+    });
   }
 
-  // Danger: connections that the system has completed and nobody has accepted would be reset with the
-  // listener.
-  void close() {
-    if (!door_closed && take_in.has_backlog() && backlog_turns++ < kBacklogTurns) {
-      take_in.make_room();
-      return closing.start(0);
+  // Stops accepting only once the backlog is empty: connections that the kernel has completed and nobody has
+  // accepted would be reset with the listener.
+  void continue_shutdown() {
+    if (!has_stopped_accepting && http_server.has_backlog() && backlog_turns++ < kMaxBacklogTurns) {
+      http_server.make_room();
+      return shutdown_timer.start(0);
     }
-    if (!std::exchange(door_closed, true)) take_in.stop_accepting();
-    if (book.count() > 0 || !take_in.quiet()) return closing.start(kLookAgain);
+    if (!std::exchange(has_stopped_accepting, true)) http_server.stop_accepting();
+    if (requests.count() > 0 || !http_server.quiet()) return shutdown_timer.start(kShutdownPollInterval);
     done();
   }
 };
 
-Broker::Broker(event_base* base, const dispatch::Config& config, const BrokerOptions& extras)
-    : stages_(std::make_unique<Stages>(base, config, extras)) {}
+Broker::Broker(event_base* base, const dispatch::Config& config, const BrokerOptions& options)
+    : parts_(std::make_unique<Parts>(base, config, options)) {}
 Broker::~Broker() = default;
 
-frontend::platform::Admit& Broker::request_parser() { return stages_->admit; }
-dispatch::TwoPhaseRunner& Broker::two_phase_runner() { return stages_->phased; }
-dispatch::InFlightRequests& Broker::in_flight_requests() { return stages_->book; }
-dispatch::RequestDispatcher& Broker::dispatcher() { return stages_->route; }
-const dispatch::EndpointRegistry& Broker::endpoints() const { return stages_->members; }
-void Broker::refresh_endpoint_list() { stages_->watch.refresh(); }
-int Broker::drain_endpoint(const std::string& node) {
-  const EndpointId id = stages_->members.id_of(node);
+frontend::platform::Admit& Broker::request_parser() { return parts_->request_parser; }
+
+dispatch::TwoPhaseRunner& Broker::two_phase_runner() { return parts_->two_phase_runner; }
+
+dispatch::InFlightRequests& Broker::in_flight_requests() { return parts_->requests; }
+
+dispatch::RequestDispatcher& Broker::dispatcher() { return parts_->dispatcher; }
+
+const dispatch::EndpointRegistry& Broker::endpoints() const { return parts_->registry; }
+
+void Broker::add_frontend(frontend::Front& frontend) { parts_->http_server.add(frontend); }
+
+void Broker::refresh_endpoint_list() { parts_->watch.refresh(); }
+
+int Broker::drain_endpoint(const std::string& name) {
+  const EndpointId id = parts_->registry.id_of(name);
   if (id == 0) return 0;
-  const auto it = stages_->out.find(id);
-  if (it != stages_->out.end()) return it->second;
-  stages_->hosts.close_idle_connections(id);
+  const auto it = parts_->attempts_in_flight.find(id);
+  if (it != parts_->attempts_in_flight.end()) return it->second;
+  parts_->backends.close_idle_connections(id);
   return 0;
 }
-void Broker::set_not_ready() { stages_->take_in.not_ready(); }
-void Broker::add_frontend(frontend::Front& front) { stages_->take_in.add(front); }
-
-void Broker::apply_config(const dispatch::Config& c) {
-  dispatch::Config& had = stages_->in_force;
-  if (c.listen_address != had.listen_address) log("config", "listen has changed; that takes a restart");
-  if (c.memory_bytes != had.memory_bytes || c.max_descriptors != had.max_descriptors)
-    log("config", "limits have changed; that takes a restart");
-  if (!(c.settings == had.settings)) log("config", "settings have changed; that takes a restart");
-  log("config", "read anew; discovery %s %s",
-      c.discovery_address == had.discovery_address ? "stays at" : "is now at", c.discovery_address.c_str());
-  if (c.discovery_address != had.discovery_address)
-    stages_->watch.set_address(had.discovery_address = c.discovery_address);
+
+void Broker::set_not_ready() { parts_->http_server.not_ready(); }
+
+void Broker::apply_config(const dispatch::Config& config) {
+  dispatch::Config& current = parts_->config;
+  if (config.listen_address != current.listen_address) {
+    log("config", "listen: changed from %s to %s, takes effect after a restart",
+        current.listen_address.c_str(), config.listen_address.c_str());
+  }
+  if (config.memory_bytes != current.memory_bytes || config.max_descriptors != current.max_descriptors) {
+    log("config", "limits: changed, take effect after a restart");
+  }
+  if (!(config.settings == current.settings)) log("config", "settings: changed, take effect after a restart");
+  log("config", "reloaded; discovery %s %s",
+      config.discovery_address == current.discovery_address ? "stays at" : "is now at",
+      config.discovery_address.c_str());
+  if (config.discovery_address != current.discovery_address) {
+    current.discovery_address = config.discovery_address;
+    parts_->watch.set_address(current.discovery_address);
+  }
 }
 
 void Broker::shut_down(std::function<void()> done) {
-  if (stages_->done) return;
-  stages_->done = std::move(done);
-  stages_->take_in.last_answers();
-  stages_->closing.start(kStillComing);
+  if (parts_->done) return;
+  parts_->done = std::move(done);
+  parts_->http_server.last_answers();
+  parts_->shutdown_timer.start(kShutdownGracePeriod);
 }
 
 }  // namespace cairnhub::server
--- a/src/server/broker.h
+++ b/src/server/broker.h
@@ -1,4 +1,4 @@
-// The broker as a library: give it an event loop and a configuration; it serves until shut down.
+// The broker as a library: it is given an event loop and a configuration, and serves until it is shut down.
 #pragma once
 #include <functional>
 #include <memory>
@@ -12,10 +12,10 @@
 struct event_base;
 
 namespace cairnhub::dispatch {
-class InFlightRequests;
 class EndpointRegistry;
-class TwoPhaseRunner;
+class InFlightRequests;
 class RequestDispatcher;
+class TwoPhaseRunner;
 }  // namespace cairnhub::dispatch
 
 namespace cairnhub::frontend {
@@ -28,47 +28,53 @@
 
 namespace cairnhub::server {
 
-// An op type whose multigets may have two phases, with the operators' terms.
+// A request class that allows two-phase queries, with the operator's terms for them.
 struct TwoPhaseClass {
   int request_class;
   RequestClass definition;
   two_phase::Terms terms;
 };
 
-// What operators' options add to the platform's settings.
+// What the operator's options add to the platform's settings.
 struct BrokerOptions {
   std::vector<TwoPhaseClass> two_phase_classes;
-  std::string search_flavor;                    // nodes of this flavor speak the search API; empty: none
-  std::size_t max_search_body_bytes = 1 << 20;  // bytes of one of their answers
+  std::string search_flavor;  // endpoints of this flavor speak the search API; empty: none do
+  std::size_t max_search_body_bytes = 1 << 20;  // of one of their responses
   dispatch::ClusterControl* cluster_control =
-      nullptr;  // what is held in common with other brokers; it outlives this one
+      nullptr;  // null: the broker runs alone; must outlive the broker
 };
 
 class Broker {
  public:
-  // Throws std::exception with one plain line where the configuration won't do.
-  Broker(event_base* base, const dispatch::Config& config, const BrokerOptions& extras = {});
+  // @throws std::exception with a message of one line, where the configuration is invalid
+  Broker(event_base* base, const dispatch::Config& config, const BrokerOptions& options = {});
   ~Broker();
-  // For fronts of further forms; one that is added must outlive the loop.
+
+  // The parts that further frontends need. A frontend that is added must outlive the event loop.
   frontend::platform::Admit& request_parser();
   dispatch::TwoPhaseRunner& two_phase_runner();
   dispatch::InFlightRequests& in_flight_requests();
   dispatch::RequestDispatcher& dispatcher();
   const dispatch::EndpointRegistry& endpoints() const;
-  void add_frontend(frontend::Front& front);
-  void refresh_endpoint_list();  // for the whole list, at once
-  // How many sends are out at a node that takes nothing new; where there are none, its connections are
-  // closed.
-  int drain_endpoint(const std::string& node);
-  void set_not_ready();  // whoever asks for its health is told to go elsewhere
-  // Takes over what may change under way; logs what takes a restart.
+  void add_frontend(frontend::Front& frontend);
+
+  // Requests the complete endpoint list at once.
+  void refresh_endpoint_list();
+  // Closes the connections to an endpoint that gets no new attempts, once none are in flight to it. Call it
+  // again until it returns 0.
+  // @return attempts still in flight to the endpoint
+  int drain_endpoint(const std::string& name);
+  // Health checks are answered from now on so that clients go elsewhere.
+  void set_not_ready();
+  // Applies what may change while the broker runs, and logs what takes a restart.
   void apply_config(const dispatch::Config& config);
-  // Goes on for as long as clients may still come, finishes what it has taken, then calls `done`. Once.
+  // Serves for as long as clients may still come, finishes the requests in flight, and then calls `done`,
+  // once.
   void shut_down(std::function<void()> done);
 
  private:
-  struct Stages;
-  std::unique_ptr<Stages> stages_;
+  struct Parts;
+  std::unique_ptr<Parts> parts_;
 };
 
 }  // namespace cairnhub::server
