--- a/src/dispatch/backend.h
+++ b/src/dispatch/backend.h
@@ -14,6 +14,7 @@
 // How much of an attempt had been written when it ended. Only a fully written one can have run.
 enum class WriteProgress { kNotConnected, kPartlyWritten, kFullyWritten };
 
+// How an attempt ended.
 enum class AttemptEnd {
   kReturned,
   kError,
@@ -24,12 +25,14 @@
   kCancelled,
 };
 
+// The end of an attempt, as a backend reports it.
 struct AttemptResult {
   AttemptEnd end;
   WriteProgress write_progress;
   std::string_view value;  // kReturned only
 };
 
+// Sends attempts to endpoints over one protocol.
 class Backend {
  public:
   virtual ~Backend() = default;
@@ -52,8 +55,9 @@
   virtual void update_endpoint(EndpointId id, const std::string& name, const Address& address,
                                EndpointState state) = 0;
   virtual void forget_endpoint(EndpointId id) = 0;  // one without attempts in flight
+  // Queues the attempt for the next flush(). It must live until its end is reported.
   virtual void send(Attempt& attempt, EndpointId to) = 0;
-  virtual void cancel(Attempt& attempt) = 0;
+  virtual void cancel(Attempt& attempt) = 0;            // does nothing where it has ended
   virtual void cancel_unwritten(Attempt& attempt) = 0;  // cancels it unless its writing has begun
   virtual void flush() = 0;                             // writes what was sent in this turn
 
--- a/src/dispatch/cluster_control.h
+++ b/src/dispatch/cluster_control.h
@@ -23,6 +23,7 @@
   double min_answer_share = 0;  // share of weight under which no response may be given
 };
 
+// The rules of the cluster, and the reports that they are based on.
 class ClusterControl {
  public:
   virtual ~ClusterControl() = default;
@@ -33,9 +34,9 @@
   virtual bool refresh_rules() = 0;
   virtual const RequestClassLimits& limits(int request_class) const = 0;  // by index in the settings
   virtual int max_attempts() const = 0;                                   // for each shard request
-  virtual bool may_hedge() const = 0;
+  virtual bool may_hedge() const = 0;  // as RequestPolicy::set_attempts() takes it
   virtual bool may_run_two_phase(int request_class) const = 0;
-  virtual bool serves_index(const std::string& name) const = 0;
+  virtual bool serves_index(const std::string& name) const = 0;  // of the search API
 
   // Whether no new attempt may go to the endpoint, whatever the broker's own list says.
   // @param started_at as in the broker's own list
@@ -57,7 +58,7 @@
   virtual double exploration_share() const = 0;  // likewise
   // A locality that names no zone has the number after the last zone's.
   virtual int zone_of(const std::string& locality) const = 0;
-  virtual bool stays_in_region(int request_class) const = 0;
+  virtual bool stays_in_region(int request_class) const = 0;  // as RequestPolicy::keep_in_region() takes it
   // Records an attempt that is sent to a zone.
   // @return whether the class has spent its budget for bytes across zones, so that the attempt crosses zones
   //         only because no replica is left in this one
@@ -67,9 +68,8 @@
   virtual void record_bytes(const TransferredBytes& bytes) = 0;
   // Records a request on arrival, whether it is admitted or not.
   virtual void record_request(int request_class, const Request& request) = 0;
-  // Whether any class has a budget for bytes across zones, and whether the class has spent its own for now.
-  virtual bool has_byte_budgets() const = 0;
-  virtual bool stays_in_zone(int request_class) = 0;
+  virtual bool has_byte_budgets() const = 0;          // whether any class has a budget for bytes across zones
+  virtual bool stays_in_zone(int request_class) = 0;  // whether the class has spent its budget for now
 };
 
 }  // namespace cairnhub::dispatch
--- a/src/dispatch/config.h
+++ b/src/dispatch/config.h
@@ -7,6 +7,7 @@
 
 namespace cairnhub::dispatch {
 
+// The configuration as read from the file.
 struct Config {
   std::string listen_address;
   std::string discovery_address;
@@ -17,6 +18,7 @@
   settings::Settings settings;
 };
 
+// Reads and checks the JSON file; the settings in it are checked later, by settings::apply().
 // @throws std::runtime_error with a message of one line
 Config read_config(const std::string& path);
 
--- a/src/dispatch/discovery_watch.h
+++ b/src/dispatch/discovery_watch.h
@@ -36,6 +36,7 @@
   static DiscoveryWatchTiming polled();
 };
 
+// Polls the agent and applies its answers to the registry.
 class DiscoveryWatch {
  public:
   // @param max_list_bytes of an answer
@@ -45,11 +46,13 @@
                  std::uint64_t seed, std::size_t max_list_bytes, EndpointRegistry& registry,
                  std::function<void(bool)> on_update);
   ~DiscoveryWatch();
+  // Starts the polling.
   void request_list();
   // Follows another agent from now on, and requests its complete list first.
   void set_address(const std::string& discovery_address);
   // Requests the complete list at once, on a new connection: the current one is known to be out of date.
   void refresh();
+  // Stops the polling and closes the connection.
   void stop();
 
  private:
--- a/src/dispatch/endpoint_registry.cpp
+++ b/src/dispatch/endpoint_registry.cpp
@@ -146,8 +146,8 @@
       }
     }
   }
-  // A list as new as the one that endpoints were withheld for releases them, those that it doesn't name
-  // included.
+  // Once a list is as new as the one that an endpoint was withheld for, the endpoint is released, even where
+  // the list doesn't name it.
   if (cluster_) update_withheld();
   return nullptr;
 }
--- a/src/dispatch/endpoint_registry.h
+++ b/src/dispatch/endpoint_registry.h
@@ -15,8 +15,10 @@
 
 namespace cairnhub::dispatch {
 
+// The endpoints by name, with their ids.
 class EndpointRegistry {
  public:
+  // An endpoint as the list states it.
   struct Entry {
     std::string id;
     std::string flavor;
@@ -26,8 +28,9 @@
     Time started_at;
     int ring_position;
   };
-  // The policy is told the whole list, `updated` each entry that is added or may have changed.
   using EndpointUpdated = std::function<void(EndpointId, const Entry&)>;
+  // @param policy  told of the whole list
+  // @param updated told of each entry that is added or may have changed
   EndpointRegistry(RequestPolicy& policy, EndpointUpdated updated)
       : policy_(policy), updated_(std::move(updated)) {}
 
@@ -44,13 +47,13 @@
     revision_ = 0;
     if (cluster_) cluster_->list_reset();
   }
-  void forget(EndpointId id);
+  void forget(EndpointId id);                       // should the endpoint come back, it gets another id
   int zone_of(EndpointId id) const;                 // 0 where the endpoint or its zone is unknown
   std::string name_of(EndpointId id) const;         // empty where the endpoint is unknown
   EndpointId id_of(const std::string& name) const;  // 0 where the endpoint is unknown
   // Names of the endpoints in service at the ring position.
   std::vector<std::string> ready_at(int ring_position) const;
-  int ready_count() const;
+  int ready_count() const;  // endpoints in service
   bool has_list() const { return has_list_; }
   std::uint64_t revision() const { return revision_; }
 
--- a/src/dispatch/in_flight_requests.h
+++ b/src/dispatch/in_flight_requests.h
@@ -10,6 +10,7 @@
 
 namespace cairnhub::dispatch {
 
+// Owns the requests from their arrival until their last attempt has ended.
 class InFlightRequests {
  public:
   // @param memory_bytes the limit of the process. Values are accepted only while requests in flight take less
@@ -17,10 +18,10 @@
   InFlightRequests(RequestPolicy& policy, std::size_t memory_bytes)
       : policy_(policy), max_memory_bytes_(memory_bytes / 2) {}
 
-  Request& add(std::unique_ptr<Request> request);     // assigns ids to it and its shard requests
-  RequestId next_id() const { return last_id_ + 1; }  // that the next request added gets
-  Request* find_request(RequestId id) const;
-  ShardRequest* find_shard_request(RequestId id) const;
+  Request& add(std::unique_ptr<Request> request);        // assigns ids to it and its shard requests
+  RequestId next_id() const { return last_id_ + 1; }     // that the next request added gets
+  Request* find_request(RequestId id) const;             // null where it is unknown
+  ShardRequest* find_shard_request(RequestId id) const;  // likewise
   // Whether a request of the name awaits its response.
   bool contains(const std::string& name) const { return names_.count(name) != 0; }
   // Requests that await their response.
--- a/src/dispatch/request.h
+++ b/src/dispatch/request.h
@@ -19,15 +19,15 @@
 class Responder {
  public:
   virtual ~Responder() = default;
-  // Call it once.
+  // Sends the response. May be called once.
   // @param retry_after  seconds as text, or empty
   // @param content_type null: JSON for status 200, plain text for any other
   virtual void respond(int status, std::string_view retry_after, std::string body,
                        const char* content_type = nullptr) = 0;
 };
 
-// What a frontend does with the values of a request and with its end. One of on_response, on_rejected and
-// on_failed is called, once; none where the client abandons the request.
+// Callbacks by which a frontend handles the values of a request and its end. One of on_response, on_rejected
+// and on_failed is called, once; none where the client abandons the request.
 class RequestCallbacks {
  public:
   virtual ~RequestCallbacks() = default;
@@ -58,6 +58,7 @@
   AttemptOutcome outcome = AttemptOutcome::kOk;  // once it has ended
 };
 
+// The part of a request that goes to one shard.
 struct ShardRequest {
   RequestId id = 0;
   Request* request = nullptr;
@@ -70,6 +71,7 @@
   std::vector<std::unique_ptr<Attempt>> attempts;
 };
 
+// A request as a frontend has read it, and what is known of it since.
 struct Request {
   RequestId id = 0;
   std::string name;
--- a/src/dispatch/request_dispatcher.h
+++ b/src/dispatch/request_dispatcher.h
@@ -11,6 +11,7 @@
 
 namespace cairnhub::dispatch {
 
+// Carries requests from their arrival to their end.
 class RequestDispatcher {
  public:
   // @param endpoint_forgotten told of each endpoint that the policy has forgotten
@@ -21,6 +22,7 @@
                     std::function<void(EndpointId)> endpoint_forgotten, std::function<bool()> follow_up,
                     RequestTrace::EndpointNames endpoint_names = {});
 
+  // Callbacks of the owner, which applies the rules of the cluster.
   struct ClusterHooks {
     std::function<void()> apply_rules;  // called when the rules of the cluster have changed
     // Called whenever the rules are refreshed, since budgets change with each attempt and each byte.
--- a/src/dispatch/request_trace.h
+++ b/src/dispatch/request_trace.h
@@ -13,6 +13,7 @@
 
 namespace cairnhub::dispatch {
 
+// Writes the trace lines where the trace is enabled.
 class RequestTrace {
  public:
   using EndpointNames = std::function<std::string(EndpointId)>;  // the name in the list; empty where unknown
--- a/src/dispatch/two_phase_runner.h
+++ b/src/dispatch/two_phase_runner.h
@@ -17,7 +17,8 @@
 
 namespace cairnhub::dispatch {
 
-// What a frontend does with the end of a two-phase query. One of the two is called, once.
+// Callbacks by which a frontend handles the end of a two-phase query. One of them is called, once; none where
+// the client abandons the query.
 class TwoPhaseCallbacks {
  public:
   virtual ~TwoPhaseCallbacks() = default;
@@ -26,6 +27,7 @@
   virtual void on_rejected(Time retry_after) = 0;
 };
 
+// Runs the two-phase queries in progress.
 class TwoPhaseRunner {
  public:
   // @param class_count how many classes the settings have added to the policy; those of rounds come after
--- a/src/server/broker.cpp
+++ b/src/server/broker.cpp
@@ -88,8 +88,8 @@
   bool has_stopped_accepting = false;
   int backlog_turns = 0;  // for which the listener was kept open
   dispatch::ClusterControl* cluster = nullptr;
-  std::unordered_map<EndpointId, int>
-      attempts_in_flight;  // where there is a cluster; must not be iterated over
+  // Counted only where there is a cluster; must not be iterated over.
+  std::unordered_map<EndpointId, int> attempts_in_flight;
 
   Parts(event_base* base, const dispatch::Config& initial, const BrokerOptions& options)
       : class_count(static_cast<int>(settings::op_types(initial.settings).size())),
--- a/src/server/broker.h
+++ b/src/server/broker.h
@@ -35,15 +35,16 @@
   two_phase::Terms terms;
 };
 
-// What the operator's options add to the platform's settings.
+// Options that the operator states in addition to the platform's settings.
 struct BrokerOptions {
   std::vector<TwoPhaseClass> two_phase_classes;
   std::string search_flavor;  // endpoints of this flavor speak the search API; empty: none do
   std::size_t max_search_body_bytes = 1 << 20;  // of one of their responses
-  dispatch::ClusterControl* cluster_control =
-      nullptr;  // null: the broker runs alone; must outlive the broker
+  // Null: the broker runs alone. Must outlive the broker.
+  dispatch::ClusterControl* cluster_control = nullptr;
 };
 
+// A broker, from the clients' listener to the connections to endpoints.
 class Broker {
  public:
   // @throws std::exception with a message of one line, where the configuration is invalid
@@ -64,7 +65,7 @@
   // again until it returns 0.
   // @return attempts still in flight to the endpoint
   int drain_endpoint(const std::string& name);
-  // Health checks are answered from now on so that clients go elsewhere.
+  // From now on health checks fail, so that clients go elsewhere.
   void set_not_ready();
   // Applies what may change while the broker runs, and logs what takes a restart.
   void apply_config(const dispatch::Config& config);
