--- a/src/dispatch/two_phase_runner.cpp
+++ b/src/dispatch/two_phase_runner.cpp
@@ -155,7 +155,7 @@
   if (!std::exchange(running.is_queued, true)) queue_.push_back(running.id);
 }
 
-// What plans hold counts towards the memory limit of the requests in flight.
+// The memory of plans counts towards the memory limit of the requests in flight.
 void TwoPhaseRunner::update_memory(RunningQuery& running) {
   const std::size_t before = std::exchange(running.memory_bytes, running.plan.bytes());
   requests_.adjust_memory(before, running.memory_bytes);
