--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -77,8 +77,8 @@
     if (path.empty()) throw std::runtime_error("RELAY_CONFIG is not set");
     const Config config = read_config(path);
     server::BrokerOptions extras;
-    std::unique_ptr<cluster::Fleet> fleet;
-    std::unique_ptr<cluster::Operators> operators;
+    std::unique_ptr<cluster::ClusterNode> fleet;
+    std::unique_ptr<cluster::AdminApi> operators;
     std::vector<frontend::opensearch::Index> indices;
     opensearch::Limits limits;
     if (!options.empty()) {
@@ -89,8 +89,8 @@
         indices.push_back({x.index.name, x.index.first, x.index.blocks, x.op_type, x.index.timeout});
       options::check_fleet(stated, config.settings);
       if (stated.fleet) {
-        fleet = std::make_unique<cluster::Fleet>(base, *stated.fleet, config.settings, config.seed);
-        if (!stated.fleet->operators.empty()) operators = std::make_unique<cluster::Operators>(base, *fleet);
+        fleet = std::make_unique<cluster::ClusterNode>(base, *stated.fleet, config.settings, config.seed);
+        if (!stated.fleet->operators.empty()) operators = std::make_unique<cluster::AdminApi>(base, *fleet);
         extras.cluster_control = fleet.get();
       }
       if (stated.search) {
@@ -104,14 +104,14 @@
       // The door opens once it is known what may be acted on, or the wait stated is over.
       bool stopped = false;
       const OnSignal stop(base, SIGTERM, [&] { stopped = true; });
-      while (!stopped && !fleet->ready()) {
+      while (!stopped && !fleet->is_ready()) {
         const timeval tick{0, 20000};
         event_base_loopexit(base, &tick);
         event_base_dispatch(base);
       }
       if (stopped) {
         fleet->leave();
-        fleet->gone();
+        fleet->announce_departure();
         fleet.reset();
         event_base_free(base);
         return 0;
@@ -128,19 +128,19 @@
       log("stop", "finishing what is in hand");
       if (fleet) fleet->leave();
       broker.shut_down([base, &fleet] {
-        if (fleet) fleet->gone();
+        if (fleet) fleet->announce_departure();
         event_base_loopexit(base, nullptr);
       });
     };
     const OnSignal stop(base, SIGTERM, leave);
     if (fleet)
-      fleet->attach({[&broker] { broker.dispatcher().run_actions(); },
-                     [&broker] { broker.refresh_endpoint_list(); },
-                     [&broker](const std::string& node) { return broker.drain_endpoint(node); },
-                     [&broker] { broker.set_not_ready(); }, leave});
+      fleet->set_process_hooks({[&broker] { broker.dispatcher().run_actions(); },
+                                [&broker] { broker.refresh_endpoint_list(); },
+                                [&broker](const std::string& node) { return broker.drain_endpoint(node); },
+                                [&broker] { broker.set_not_ready(); }, leave});
     // Danger: a file that is missing, half written or wrong. Nothing of it is taken.
     const OnSignal reload(base, SIGHUP, [&] {
-      if (fleet) fleet->change_keys();
+      if (fleet) fleet->reload_keys();
       try {
         broker.apply_config(read_config(path));
       } catch (const std::exception& e) {
--- a/src/cluster/admin_api.cpp
+++ b/src/cluster/admin_api.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-Operators::Operators(event_base* base, Fleet& fleet) : fleet_(fleet), http_(evhttp_new(base)) {
+AdminApi::AdminApi(event_base* base, ClusterNode& fleet) : fleet_(fleet), http_(evhttp_new(base)) {
   const std::string& at = fleet.options().operators;
   const auto colon = at.rfind(':');
   evhttp_set_max_body_size(http_, 256 << 10);
@@ -38,7 +38,7 @@
   evhttp_set_gencb(
       http_,
       [](evhttp_request* r, void* self) {
-        guarded("operators", [&] { static_cast<Operators*>(self)->asked(r); });
+        guarded("operators", [&] { static_cast<AdminApi*>(self)->asked(r); });
       },
       this);
   if (evhttp_bind_socket(http_, at.substr(0, colon).c_str(),
@@ -48,12 +48,12 @@
   }
 }
 
-Operators::~Operators() {
+AdminApi::~AdminApi() {
   *here_ = false;
   evhttp_free(http_);
 }
 
-void Operators::reply(evhttp_request* r, int status, const std::string& body) {
+void AdminApi::reply(evhttp_request* r, int status, const std::string& body) {
   evhttp_add_header(evhttp_request_get_output_headers(r), "Content-Type", "application/json");
   evbuffer* out = evbuffer_new();
   evbuffer_add(out, body.data(), body.size());
@@ -61,7 +61,7 @@
   evbuffer_free(out);
 }
 
-void Operators::asked(evhttp_request* r) {
+void AdminApi::asked(evhttp_request* r) {
   const evhttp_uri* uri = evhttp_request_get_evhttp_uri(r);
   const char* raw = uri ? evhttp_uri_get_path(uri) : nullptr;
   const std::string path = raw ? raw : "";
@@ -83,7 +83,7 @@
   reply(r, 404, text({{"error", "no such path"}}));
 }
 
-std::string Operators::peers() const {
+std::string AdminApi::peers() const {
   const auto& p = fleet_.peers();
   json all = json::array();
   for (const auto* member : p.members().all())
@@ -118,7 +118,7 @@
          {"dropped", dropped}}}});
 }
 
-std::string Operators::status() const {
+std::string AdminApi::status() const {
   const auto s = fleet_.accord()->status(now());
   json voters = json::array();
   for (const auto& v : s.voters) voters.push_back({{"name", v.name}, {"votes", v.votes}});
@@ -143,7 +143,7 @@
        {"ground_waits_for", s.ground_waits_for}});
 }
 
-std::string Operators::history() const {
+std::string AdminApi::history() const {
   json versions = json::array();
   for (const auto& v : fleet_.accord()->history()) versions.push_back(of(v));
   const auto& h = fleet_.accord()->holder();
@@ -153,7 +153,7 @@
 }
 
 // Every broker tells what it acts on; the evidence stands at the leader.
-std::string Operators::zones() const {
+std::string AdminApi::zones() const {
   const auto& z = *fleet_.zone_part();
   // Without an accord it decides for itself, from a book of its own.
   const shared_config::Versions* own = fleet_.alone();
@@ -208,7 +208,7 @@
 }
 
 // Parts and bytes between this broker and each zone, by op type, and what is left of the budgets.
-std::string Operators::crossing() const {
+std::string AdminApi::crossing() const {
   const auto& z = *fleet_.zone_part();
   const auto& c = *fleet_.crossing();
   const auto& names = fleet_.op_types();
@@ -239,7 +239,7 @@
 }
 
 // The works as the log has them, and at the leader what each waits for and when it is to begin.
-std::string Operators::works() const {
+std::string AdminApi::works() const {
   const auto s = fleet_.accord()->status(now());
   const auto* book = fleet_.works()->book();
   json out{{"name", fleet_.options().name}, {"leader", s.leader}, {"leads", s.leads && book}};
@@ -295,7 +295,7 @@
 }
 
 // What an operator says of works, as the log's entry has it; none where it is not well formed.
-std::optional<std::string> Operators::work_op(const nlohmann::json& j) {
+std::optional<std::string> AdminApi::work_op(const nlohmann::json& j) {
   maintenance::JobOperation op;
   timespec t{};
   clock_gettime(CLOCK_REALTIME, &t);
@@ -338,13 +338,13 @@
 }
 
 // A proposal whose answer is awaited; its asker may leave before.
-struct Operators::Waiting {
+struct AdminApi::Waiting {
   evhttp_request* request;
   std::shared_ptr<bool> here;
-  Operators* home;
+  AdminApi* home;
 };
 
-void Operators::propose(evhttp_request* r) {
+void AdminApi::propose(evhttp_request* r) {
   evbuffer* in = evhttp_request_get_input_buffer(r);
   std::string body(evbuffer_get_length(in), '\0');
   evbuffer_copyout(in, body.data(), body.size());
--- a/src/cluster/admin_api.h
+++ b/src/cluster/admin_api.h
@@ -19,13 +19,13 @@
 
 namespace cairnhub::cluster {
 
-class Operators {
+class AdminApi {
  public:
   // Throws std::runtime_error with one line where the address can't be had.
-  Operators(event_base* base, Fleet& fleet);
-  ~Operators();
-  Operators(const Operators&) = delete;
-  Operators& operator=(const Operators&) = delete;
+  AdminApi(event_base* base, ClusterNode& fleet);
+  ~AdminApi();
+  AdminApi(const AdminApi&) = delete;
+  AdminApi& operator=(const AdminApi&) = delete;
 
  private:
   struct Waiting;
@@ -40,7 +40,7 @@
   static std::optional<std::string> work_op(const nlohmann::json& said);
   std::string peers() const;
 
-  Fleet& fleet_;
+  ClusterNode& fleet_;
   evhttp* http_;
   std::shared_ptr<bool> here_ = std::make_shared<bool>(true);  // false once this is gone
   static constexpr std::size_t kWaitingMost = 64;
--- a/src/cluster/cluster_node.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -89,8 +89,8 @@
 
 }  // namespace
 
-Fleet::Fleet(event_base* base, const options::Fleet& o, const settings::Settings& settings,
-             std::uint64_t seed)
+ClusterNode::ClusterNode(event_base* base, const options::Fleet& o, const settings::Settings& settings,
+                         std::uint64_t seed)
     : options_(o),
       peers_(membership_options(o), o.name, o.advertise, seed),
       transport_(base, o.listen, o.name, transport::read_keys(o.key_file),
@@ -145,12 +145,12 @@
   cells_ = settings.whole("family-info.positions"), width_ = settings.whole("family-info.width");
   if (o.zones) begin_zones(*o.zones, settings);
   if (o.upkeep)
-    works_ = std::make_unique<Works>(
+    works_ = std::make_unique<MaintenanceAgent>(
         base, options_, settings, *accord_, peers_, zones_.get(), event_log_.get(),
         [this](const std::string& to, const std::string& bytes) { send_to(to, kWorks + bytes); });
 }
 
-void Fleet::begin_zones(const options::Zones& o, const settings::Settings& settings) {
+void ClusterNode::begin_zones(const options::Zones& o, const settings::Settings& settings) {
   zones_ = std::make_unique<zone_failover::ZoneFailover>(zone_terms(o), options_.name);
   const auto ops = settings::op_types(settings);
   for (const auto& named : ops) needs_.push_back(named.op.required_share);
@@ -167,9 +167,9 @@
   take_zones();
 }
 
-Fleet::~Fleet() = default;
+ClusterNode::~ClusterNode() = default;
 
-void Fleet::start() {
+void ClusterNode::start() {
   started_at_ = now();
   if (event_log_) event_log_->record_event("starts").with("address", options_.advertise);
   peers_.start(started_at_);
@@ -177,11 +177,11 @@
   pump();
 }
 
-bool Fleet::ready() {
+bool ClusterNode::is_ready() {
   return !accord_ || accord_->ever_answered() || now() - started_at_ >= options_.accord->start_wait;
 }
 
-void Fleet::change_keys() {
+void ClusterNode::reload_keys() {
   try {
     transport_.rotate_keys(transport::read_keys(options_.key_file));
     log("fleet", "keys read anew");
@@ -190,7 +190,7 @@
   }
 }
 
-void Fleet::leave() {
+void ClusterNode::leave() {
   if (left_) return;
   left_ = true;
   if (accord_) accord_->leave(now());
@@ -200,13 +200,13 @@
 
 // Danger: a machine is handed over for work once its brokers are gone; one that said so as it began to finish
 // what it has in hand would lose that with the machine.
-void Fleet::gone() {
+void ClusterNode::announce_departure() {
   if (event_log_) event_log_->record_event("gone");
   peers_.leave();
   pump();
 }
 
-void Fleet::heard(const std::string& from, std::string_view body) {
+void ClusterNode::heard(const std::string& from, std::string_view body) {
   if (body.empty() || (left_ && body.front() != kPeers)) return;
   const char kind = body.front();
   body.remove_prefix(1);
@@ -226,14 +226,14 @@
   pump();
 }
 
-std::string Fleet::lists_digest() const {
+std::string ClusterNode::lists_digest() const {
   accord::wire::Lists l;
   l.set_newest(hearsay_.newest());
   l.set_digest(hearsay_.digest());
   return l.SerializeAsString();
 }
 
-void Fleet::heard_lists(const std::string& from, const std::string& cargo) {
+void ClusterNode::heard_lists(const std::string& from, const std::string& cargo) {
   if (!options_.share_lists) return;
   accord::wire::Lists l;
   if (!l.ParseFromString(cargo)) return;
@@ -264,7 +264,7 @@
 }
 
 // `to` empty: a few, at random.
-void Fleet::tell_lists(const std::vector<shared_config::Notice>& notices, const std::string& to) {
+void ClusterNode::tell_lists(const std::vector<shared_config::Notice>& notices, const std::string& to) {
   for (std::size_t at = 0; at < notices.size(); at += kNoticesAMessage) {
     accord::wire::Lists l;
     l.set_newest(hearsay_.newest());
@@ -280,12 +280,12 @@
   }
 }
 
-void Fleet::send_to(const std::string& to, const std::string& bytes) {
+void ClusterNode::send_to(const std::string& to, const std::string& bytes) {
   if (const auto* member = peers_.members().find(to)) transport_.send(to, member->address(), bytes);
 }
 
 // Sends what the packages have to say, and follows what changed, until nothing is left.
-void Fleet::pump(bool may_turn) {
+void ClusterNode::pump(bool may_turn) {
   if (pumping_) return;
   pumping_ = true;
   const Time at = now();
@@ -310,7 +310,7 @@
   if (accord_) {
     if (zones_) turn_zones();
     if (works_) works_->turn(at, program_, *applied_, listed_, hearsay_.own());
-    keep_ground();
+    save_baseline();
     note_lease();  // before others are told of it: what they do on that must not stand earlier in the events
     while (auto o = accord_->send()) send_to(o->to, kAccord + o->bytes);
   } else if (zones_) {
@@ -334,7 +334,7 @@
   if (news && may_turn) program_.changed();
 }
 
-void Fleet::woken() {
+void ClusterNode::woken() {
   const Time at = now();
   peers_.handle_timers(at);
   if (accord_) accord_->woken(at);
@@ -345,7 +345,7 @@
 // ground, and starts anew from a folder that holds the last one alone, would act on more than the versions
 // allow that were made since. What it keeps to while the next one waits, the meet of both, goes by the older
 // one's number: it then asks for both again.
-void Fleet::keep_ground() {
+void ClusterNode::save_baseline() {
   const auto& holder = accord_->holder();
   const auto& ground = holder.ground();
   const std::uint64_t next = holder.ground_next() ? holder.ground_next()->number : 0;
@@ -357,7 +357,7 @@
 }
 
 // For the auditor: from when until when this broker may act on what.
-void Fleet::note_lease() {
+void ClusterNode::note_lease() {
   if (!event_log_) return;
   const Time at = now(), until = accord_->holder().until();
   const auto& acting = accord_->acting(at);
@@ -374,14 +374,14 @@
       .with("until", static_cast<std::uint64_t>(until - clock_offset()));
 }
 
-std::optional<zone_failover::ZoneReport> Fleet::look_at_zones(Time at) {
+std::optional<zone_failover::ZoneReport> ClusterNode::look_at_zones(Time at) {
   if (at < zones_->next_report_at()) return std::nullopt;
   count_hosts();
   return zones_->make_due_report(at);
 }
 
 // Without an accord: from its own evidence, for itself, in force at once.
-void Fleet::turn_alone() {
+void ClusterNode::turn_alone() {
   const Time at = now();
   if (!look_at_zones(at)) return;
   auto e = zones_->propose_change(at, *alone_);
@@ -401,7 +401,7 @@
 }
 
 // Tells the voters what was seen of zones, and where this broker leads, proposes what follows from it all.
-void Fleet::turn_zones() {
+void ClusterNode::turn_zones() {
   const Time at = now();
   const auto report = look_at_zones(at);
   if (!report) return;
@@ -422,7 +422,7 @@
 }
 
 // What is acted on of zones: the rules, and the note of the newest version that a lease is held on.
-void Fleet::take_zones() {
+void ClusterNode::take_zones() {
   const shared_config::Version* newest = nullptr;
   if (alone_) {
     newest = &alone_->all().rbegin()->second;
@@ -445,7 +445,7 @@
 }
 
 // Hosts in service by zone, and what they are worth: a cold one its present share.
-void Fleet::count_hosts() {
+void ClusterNode::count_hosts() {
   const Time at = now();
   std::map<std::string, std::pair<int, double>> by_zone;
   std::vector<bool> near(static_cast<std::size_t>(cells_), false);
@@ -468,34 +468,36 @@
       if (near[static_cast<std::size_t>((s + j) % cells_)]) far_shards_[static_cast<std::size_t>(s)] = false;
 }
 
-bool Fleet::stays_in_region(int op_type) const {
+bool ClusterNode::stays_in_region(int op_type) const {
   return stays_in_region_.at(static_cast<std::size_t>(op_type));
 }
 
 // A node of no known zone is not known to be elsewhere.
-int Fleet::counted_zone(int zone) const { return zone < static_cast<int>(zone_limits_.size()) ? zone : 0; }
+int ClusterNode::counted_zone(int zone) const {
+  return zone < static_cast<int>(zone_limits_.size()) ? zone : 0;
+}
 
-bool Fleet::record_attempt(int zone, int op_type) {
+bool ClusterNode::record_attempt(int zone, int op_type) {
   return crossing_ && crossing_->start_attempt(now(), counted_zone(zone), op_type);
 }
 
-void Fleet::record_attempt_end(const dispatch::TrafficAccount& whose, EndpointId node, AttemptOutcome how,
-                               Time latency) {
+void ClusterNode::record_attempt_end(const dispatch::TrafficAccount& whose, EndpointId node,
+                                     AttemptOutcome how, Time latency) {
   if (!zones_) return;
   zones_->record_attempt_result(now(), zones_->zone_name(whose.zone), node, how, latency);
   crossing_->finish_attempt(counted_zone(whose.zone), whose.request_class, whose.is_over_budget);
 }
 
-void Fleet::record_bytes(const dispatch::TransferredBytes& what) {
+void ClusterNode::record_bytes(const dispatch::TransferredBytes& what) {
   if (crossing_)
     crossing_->record_bytes(now(), counted_zone(what.account.zone), what.account.request_class,
                             what.account.is_over_budget, what.sent, what.received);
 }
 
-bool Fleet::stays_in_zone(int op_type) { return crossing_->is_exhausted(now(), op_type); }
+bool ClusterNode::stays_in_zone(int op_type) { return crossing_->is_exhausted(now(), op_type); }
 
 // As the options state and as the rules allow, whichever is less.
-void Fleet::limit_crossing() {
+void ClusterNode::limit_crossing() {
   for (std::size_t i = 0; i < op_types_.size(); ++i) {
     const std::int64_t most = applied_->rules->of(op_types_[i]).crossing_most;
     crossing_->set_limit(now(), static_cast<int>(i),
@@ -504,7 +506,7 @@
   }
 }
 
-void Fleet::record_request(int op_type, const dispatch::Request& query) {
+void ClusterNode::record_request(int op_type, const dispatch::Request& query) {
   if (!zones_) return;
   std::size_t far = 0;
   for (const auto& p : query.shard_requests)
@@ -515,7 +517,7 @@
                         need * static_cast<double>(far));
 }
 
-void Fleet::look_behind() {
+void ClusterNode::look_behind() {
   const Time at = now();
   if (!hearsay_.behind() || hearsay_.own() == 0) {
     behind_since_ = kNever;
@@ -531,7 +533,7 @@
   program_.ask_agent();
 }
 
-bool Fleet::refresh_rules() {
+bool ClusterNode::refresh_rules() {
   const bool heard = hearsay_seen_ != hearsay_now_;
   hearsay_seen_ = hearsay_now_;
   if (!accord_) return std::exchange(shares_new_, false) || heard;
@@ -552,29 +554,29 @@
   return true;
 }
 
-const dispatch::RequestClassLimits& Fleet::limits(int op_type) const {
+const dispatch::RequestClassLimits& ClusterNode::limits(int op_type) const {
   return limits_.at(static_cast<std::size_t>(op_type));
 }
-bool Fleet::may_run_two_phase(int op_type) const {
+bool ClusterNode::may_run_two_phase(int op_type) const {
   return applied_->rules->two_phase_off.count(op_types_.at(static_cast<std::size_t>(op_type))) == 0;
 }
-bool Fleet::serves_index(const std::string& name) const {
+bool ClusterNode::serves_index(const std::string& name) const {
   return applied_->rules->index_off.count(name) == 0;
 }
 
-bool Fleet::is_withheld(const std::string& node, Time started) const {
+bool ClusterNode::is_withheld(const std::string& node, Time started) const {
   return (options_.share_lists && hearsay_.withheld(node, started)) ||
          applied_->rules->withheld.count(node) != 0 || applied_->rules->at_work.count(node) != 0;
 }
 
-void Fleet::list_begins(std::uint64_t revision, bool whole) {
+void ClusterNode::list_begins(std::uint64_t revision, bool whole) {
   in_list_ = true;
   if (event_log_) event_log_->record_event("list").with("revision", revision).with("whole", whole);
   hearsay_.begins(revision, whole);
   ++lists_, list_whole_ = whole;
 }
-void Fleet::list_endpoint(const std::string& node, Time started, EndpointState state,
-                          const std::string& locality, int cell) {
+void ClusterNode::list_endpoint(const std::string& node, Time started, EndpointState state,
+                                const std::string& locality, int cell) {
   if (state == EndpointState::kRemoved)
     listed_.erase(node);
   else if (zones_ || works_)
@@ -589,7 +591,7 @@
     event_log_->record_event("ready").with("node", node);
   }
 }
-void Fleet::list_ends() {
+void ClusterNode::list_ends() {
   for (const auto& node : hearsay_.ends())
     if (event_log_)
       event_log_->record_event("told").with("node", node).with("state", "gone"), told_.insert(node);
@@ -600,12 +602,12 @@
   // in.
   pump(false);
 }
-void Fleet::list_reset() {
+void ClusterNode::list_reset() {
   hearsay_.anew();
   listed_.clear();
 }
 
-void Fleet::propose(shared_config::Entry entry, shared_config::Accord::Done done) {
+void ClusterNode::propose(shared_config::Entry entry, shared_config::Accord::Done done) {
   if (!accord_) return done(std::nullopt);
   accord_->propose(now(), std::move(entry), std::move(done));
   pump();
--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -26,20 +26,20 @@
 
 namespace cairnhub::cluster {
 
-class Fleet : public dispatch::ClusterControl {
+class ClusterNode : public dispatch::ClusterControl {
  public:
   // Throws std::runtime_error with one line where an address, a key or the folder can't be had.
-  Fleet(event_base* base, const options::Fleet& options, const settings::Settings& settings,
-        std::uint64_t seed);
-  ~Fleet() override;
+  ClusterNode(event_base* base, const options::Fleet& options, const settings::Settings& settings,
+              std::uint64_t seed);
+  ~ClusterNode() override;
 
   void start();
   // It may open its door: there are no versions, the leader has answered, or the wait stated is over.
-  bool ready();
-  void attach(Program program) { program_ = std::move(program); }
-  void change_keys();  // reads the key file anew; a bad one changes nothing and is logged
-  void leave();        // in good order: lease and lead, before it finishes what is in hand
-  void gone();         // membership, as the last thing said: others hold it for running until then
+  bool is_ready();
+  void set_process_hooks(ProcessHooks program) { program_ = std::move(program); }
+  void reload_keys();         // reads the key file anew; a bad one changes nothing and is logged
+  void leave();               // in good order: lease and lead, before it finishes what is in hand
+  void announce_departure();  // membership, as the last thing said: others hold it for running until then
 
   // ClusterControl.
   bool refresh_rules() override;
@@ -76,7 +76,7 @@
   const shared_config::Hearsay& hearsay() const { return hearsay_; }
   const transport::Transport& transport() const { return transport_; }
   shared_config::Accord* accord() { return accord_.get(); }
-  const Works* works() const { return works_.get(); }
+  const MaintenanceAgent* works() const { return works_.get(); }
   const zone_failover::ZoneFailover* zone_part() const { return zones_.get(); }
   const shared_config::Versions* alone() const { return alone_.get(); }  // where it decides of zones alone
   const zone_failover::CrossZoneBudget* crossing() const { return crossing_.get(); }
@@ -92,7 +92,7 @@
   std::string lists_digest() const;
   void send_to(const std::string& to, const std::string& bytes);
   void begin_zones(const options::Zones& options, const settings::Settings& settings);
-  void keep_ground();
+  void save_baseline();
   void note_lease();
   void look_behind();
   std::optional<zone_failover::ZoneReport> look_at_zones(Time at);
@@ -112,11 +112,11 @@
   std::unique_ptr<shared_config::Accord> accord_;
   transport::Transport transport_;
   Timer wake_;
-  Program program_;
+  ProcessHooks program_;
   std::shared_ptr<const shared_config::Acting> applied_;
   std::vector<dispatch::RequestClassLimits> limits_;
   std::unique_ptr<zone_failover::ZoneFailover> zones_;
-  std::unique_ptr<Works> works_;
+  std::unique_ptr<MaintenanceAgent> works_;
   std::unique_ptr<shared_config::Versions> alone_;  // of zones, where there is no accord: a book of its own
   std::unique_ptr<zone_failover::CrossZoneBudget> crossing_;
   std::vector<double> crossing_stated_;  // bytes a second, by op type
--- a/src/cluster/maintenance_agent.cpp
+++ b/src/cluster/maintenance_agent.cpp
@@ -31,9 +31,10 @@
 
 }  // namespace
 
-Works::Works(event_base* base, const options::Fleet& options, const settings::Settings& settings,
-             shared_config::Accord& accord, const membership::SwimMembership& peers,
-             const zone_failover::ZoneFailover* zones, EventLog* event_log, Send send)
+MaintenanceAgent::MaintenanceAgent(event_base* base, const options::Fleet& options,
+                                   const settings::Settings& settings, shared_config::Accord& accord,
+                                   const membership::SwimMembership& peers,
+                                   const zone_failover::ZoneFailover* zones, EventLog* event_log, Send send)
     : options_(options),
       accord_(accord),
       peers_(peers),
@@ -48,13 +49,13 @@
         if (stop_) stop_();
       }) {}
 
-const maintenance::JobQueue* Works::book() const {
+const maintenance::JobQueue* MaintenanceAgent::book() const {
   const auto* engine = accord_.engine();
   return engine ? dynamic_cast<const maintenance::JobQueue*>(engine->versions().board().get()) : nullptr;
 }
 
-maintenance::FleetStatus Works::see(Time now, const std::map<std::string, Listed>& listed,
-                                    std::uint64_t revision) const {
+maintenance::FleetStatus MaintenanceAgent::see(Time now, const std::map<std::string, Listed>& listed,
+                                               std::uint64_t revision) const {
   const auto& o = *options_.upkeep;
   maintenance::FleetStatus f;
   f.revision = revision, f.ring_size = cells_, f.replicas_per_shard = width_;
@@ -79,8 +80,8 @@
   return f;
 }
 
-void Works::turn(Time now, const Program& program, const shared_config::Acting& acted,
-                 const std::map<std::string, Listed>& listed, std::uint64_t revision) {
+void MaintenanceAgent::turn(Time now, const ProcessHooks& program, const shared_config::Acting& acted,
+                            const std::map<std::string, Listed>& listed, std::uint64_t revision) {
   if (now < conduct_.next_check_at()) return;
   conduct_.schedule_next_check(now);
   // What is acted on under a lease that has lapsed meanwhile tells nothing: the next look will.
@@ -121,7 +122,8 @@
   });
 }
 
-void Works::heard(Time now, const Program& program, const std::string& from, std::string_view bytes) {
+void MaintenanceAgent::heard(Time now, const ProcessHooks& program, const std::string& from,
+                             std::string_view bytes) {
   auto m = maintenance::decode_message(bytes);
   if (!m) return;
   if (m->open_attempts) conduct_.record_report(now, from, std::move(*m->open_attempts));
@@ -129,7 +131,7 @@
 }
 
 // Its front hears of it by its health first; then all goes as SIGTERM does.
-void Works::stand_down(const Program& program, std::uint64_t work) {
+void MaintenanceAgent::stand_down(const ProcessHooks& program, std::uint64_t work) {
   if (standing_down_ || !program.stop) return;
   standing_down_ = true;
   log("upkeep", "this machine is taken out, work %llu: leaving", static_cast<unsigned long long>(work));
@@ -139,7 +141,7 @@
   leaves_.start(options_.upkeep ? options_.upkeep->notice : 0);
 }
 
-void Works::applied() {
+void MaintenanceAgent::applied() {
   const auto* works = book();
   if (!works || !event_log_) return;
   for (const auto& [n, w] : works->jobs()) {
--- a/src/cluster/maintenance_agent.h
+++ b/src/cluster/maintenance_agent.h
@@ -21,7 +21,7 @@
 namespace cairnhub::cluster {
 
 // What the program does for the fleet.
-struct Program {
+struct ProcessHooks {
   std::function<void()> changed;                 // what is acted on may have changed
   std::function<void()> ask_agent;               // for the whole list, at once
   std::function<int(const std::string&)> clear;  // sends out at a node; none: its connections are closed
@@ -38,19 +38,19 @@
   std::uint64_t named_in = 0;
 };
 
-class Works {
+class MaintenanceAgent {
  public:
   // `send` sends bytes to a broker by name.
   using Send = std::function<void(const std::string& to, const std::string& bytes)>;
-  Works(event_base* base, const options::Fleet& options, const settings::Settings& settings,
-        shared_config::Accord& accord, const membership::SwimMembership& peers,
-        const zone_failover::ZoneFailover* zones, EventLog* event_log, Send send);
+  MaintenanceAgent(event_base* base, const options::Fleet& options, const settings::Settings& settings,
+                   shared_config::Accord& accord, const membership::SwimMembership& peers,
+                   const zone_failover::ZoneFailover* zones, EventLog* event_log, Send send);
 
   Time wake() const { return conduct_.next_check_at(); }
   // `acted`: what the core acts on; `listed`: the own list's nodes, of that revision.
-  void turn(Time now, const Program& program, const shared_config::Acting& acted,
+  void turn(Time now, const ProcessHooks& program, const shared_config::Acting& acted,
             const std::map<std::string, Listed>& listed, std::uint64_t revision);
-  void heard(Time now, const Program& program, const std::string& from, std::string_view bytes);
+  void heard(Time now, const ProcessHooks& program, const std::string& from, std::string_view bytes);
   void gone(const std::string& broker) { conduct_.forget_broker(broker); }
   void applied();  // an entry on works was: its steps are recorded
 
@@ -61,7 +61,7 @@
  private:
   maintenance::FleetStatus see(Time now, const std::map<std::string, Listed>& listed,
                                std::uint64_t revision) const;
-  void stand_down(const Program& program, std::uint64_t work);
+  void stand_down(const ProcessHooks& program, std::uint64_t work);
 
   const options::Fleet& options_;
   shared_config::Accord& accord_;
--- a/tests/grounds.cpp
+++ b/tests/grounds.cpp
@@ -108,7 +108,7 @@
   }
 };
 
-// As Fleet::keep_ground does, before anything is said to others.
+// As ClusterNode::save_baseline does, before anything is said to others.
 void keep(State& s, std::size_t i) {
   const Holder& h = s.holders[i];
   if (broken == 2 && h.ground_next()) return;  // only what is settled
