--- a/src/dispatch/request_dispatcher.cpp
+++ b/src/dispatch/request_dispatcher.cpp
@@ -105,7 +105,7 @@
 
 void RequestDispatcher::abandon_request(RequestId id) {
   if (Request* request = requests_.find_request(id)) {
-    if (request->callbacks) trace_.record_end(*request, "abandoned by its client", 0);
+    if (request->callbacks) trace_.record_end(*request, "left by its client", 0);
     policy_.request_abandoned(id);
     end_request(*request);
   }
@@ -176,10 +176,10 @@
       if (Request* request = requests_.find_request(action.request); request && request->callbacks) {
         if (trace_.is_enabled()) {
           trace_.record_end(*request,
-                            action.kind == Kind::kReject ? "rejected"
+                            action.kind == Kind::kReject ? "pushed back"
                             : action.kind == Kind::kFail ? "failed"
-                            : action.is_complete         ? "complete response"
-                                                         : "partial response",
+                            : action.is_complete         ? "answered whole"
+                                                         : "answered in part",
                             action.kind == Kind::kReject ? action.duration : 0);
         }
         if (action.kind == Kind::kRespond) {
--- a/src/dispatch/request_trace.cpp
+++ b/src/dispatch/request_trace.cpp
@@ -17,13 +17,13 @@
     case AttemptOutcome::kError:
       return "error";
     case AttemptOutcome::kQueueFull:
-      return "queue full";
+      return "full";
     case AttemptOutcome::kTimedOut:
       return "timed out";
     case AttemptOutcome::kConnectFailed:
       return "connect failed";
     case AttemptOutcome::kReset:
-      return "connection reset";
+      return "reset";
     case AttemptOutcome::kCancelled:
       return "cancelled";
     case AttemptOutcome::kNotSent:
@@ -49,25 +49,25 @@
 
 std::string format_trace_line(const Request& request, const char* result, Time retry_after, Time ended_at,
                               const RequestTrace::EndpointNames& endpoint_names) {
-  std::string line = "request ";
+  std::string line = "multiget ";
   for (const char c : request.name) line += c < ' ' && c >= 0 ? '?' : c;  // the client's bytes
-  line += " (class " + std::to_string(request.request_class) + ", " +
-          (request.is_client_retry ? "client retry" : "first try") + ", " + milliseconds(request.time_left) +
-          " left, " + std::to_string(request.shard_requests.size()) + " shard requests): " + result;
+  line += " (op type " + std::to_string(request.request_class) + ", " +
+          (request.is_client_retry ? "a later try" : "a first try") + ", " + milliseconds(request.time_left) +
+          " left, " + std::to_string(request.shard_requests.size()) + " parts): " + result;
   line += " after " + milliseconds(ended_at - request.arrived_at);
-  if (retry_after > 0) line += ", Retry-After " + milliseconds(retry_after);
+  if (retry_after > 0) line += ", come back in " + milliseconds(retry_after);
   std::string attempts;
   for (std::size_t i = 0; i < request.shard_requests.size(); ++i) {
     for (const auto& attempt : request.shard_requests[i]->attempts) {
       const std::string name = endpoint_names ? endpoint_names(attempt->endpoint) : std::string();
       attempts += (attempts.empty() ? "" : ", ") + std::to_string(i) + "." + std::to_string(attempt->index) +
-                  " at " + (name.empty() ? "endpoint " + std::to_string(attempt->endpoint) : name) + " ";
+                  " at " + (name.empty() ? "node " + std::to_string(attempt->endpoint) : name) + " ";
       attempts += attempt->has_ended ? std::string(outcome_name(attempt->outcome)) + " after " +
                                            milliseconds(attempt->ended_at - attempt->sent_at)
-                                     : "in flight for " + milliseconds(ended_at - attempt->sent_at);
+                                     : "out for " + milliseconds(ended_at - attempt->sent_at);
     }
   }
-  return line + "; " + (attempts.empty() ? "no attempts" : "attempts " + attempts);
+  return line + "; " + (attempts.empty() ? "nothing sent" : "sends " + attempts);
 }
 
 }  // namespace cairnhub::dispatch
--- a/src/maintenance/maintenance_controller.cpp
+++ b/src/maintenance/maintenance_controller.cpp
@@ -121,7 +121,7 @@
   std::optional<shared_config::Entry> entry;
   if (now >= next_status_at_ && is_worth_sending(queue->fleet_status(), view.fleet_status)) {
     next_status_at_ = now + options_.status_interval;
-    entry = make_entry(shared_config::Entry::Kind::board, now, "fleet status");
+    entry = make_entry(shared_config::Entry::Kind::board, now, "what is seen");
     JobOperation operation;
     operation.stated_at = wall_time;
     operation.fleet_status = view.fleet_status;
@@ -153,15 +153,15 @@
   if (!is_subset(wanted_in_baseline, baseline) && !versions.ground_next()) {
     std::set<std::string> both = baseline;
     both.insert(wanted_in_baseline.begin(), wanted_in_baseline.end());
-    shared_config::Entry entry = make_entry(shared_config::Entry::Kind::ground_works, now,
-                                            "baseline: exclude endpoints of machines taken out");
+    shared_config::Entry entry =
+        make_entry(shared_config::Entry::Kind::ground_works, now, "machines are taken out");
     entry.base = versions.ground_works_from();
     entry.text = rules_that_exclude(both);
     return entry;
   }
   if (newest != wanted && is_subset(wanted, baseline)) {
-    shared_config::Entry entry = make_entry(shared_config::Entry::Kind::propose_works, now,
-                                            "rules: exclude endpoints of machines that are out");
+    shared_config::Entry entry =
+        make_entry(shared_config::Entry::Kind::propose_works, now, "machines at work");
     entry.base = versions.works_from();
     entry.text = rules_that_exclude(wanted);
     return entry;
@@ -169,8 +169,8 @@
   // Until the version that readmits an endpoint is in force, a baseline that readmits it would allow more
   // than the version in force.
   if (baseline != wanted_in_baseline && newest == wanted && in_force == wanted && !versions.ground_next()) {
-    shared_config::Entry entry = make_entry(shared_config::Entry::Kind::ground_works, now,
-                                            "baseline: readmit endpoints of machines that are back");
+    shared_config::Entry entry =
+        make_entry(shared_config::Entry::Kind::ground_works, now, "machines are back");
     entry.base = versions.ground_works_from();
     entry.text = rules_that_exclude(wanted_in_baseline);
     return entry;
@@ -308,7 +308,7 @@
         break;
       case JobState::kInMaintenance:
         if (is_overdue(now, wall_time, job, job.request.duration, status)) {
-          propose(job, JobState::kLost, "not back within its stated length");
+          propose(job, JobState::kLost, "not back in its time");
         } else {
           waiting_reasons_[number] = "whoever works on it says done";
         }
@@ -329,7 +329,7 @@
           } else if (now < observed.since + options_.warm_up_time) {
             // An endpoint list from before the restart shows the endpoint as warm. If the job ended then,
             // another replica of its shards would be taken out beside a cold one.
-            reason = endpoint + " may be cold: the endpoint list may be older than its restart";
+            reason = endpoint + " may be cold: the list may tell of an earlier start";
           }
         }
         for (const auto& broker : job.request.brokers) {
@@ -340,7 +340,7 @@
         if (reason.empty()) {
           propose(job, JobState::kDone, "warm and in service");
         } else if (is_overdue(now, wall_time, job, 0, status)) {
-          propose(job, JobState::kLost, "reported as done, but " + reason);
+          propose(job, JobState::kLost, "said to be done, and " + reason);
         } else {
           waiting_reasons_[number] = reason;
         }
--- a/src/zone_failover/zone_failover.cpp
+++ b/src/zone_failover/zone_failover.cpp
@@ -165,8 +165,8 @@
     const int after = shares.of(from, to);
     // A share that a zone can no longer spare must be lowered at once; a higher share can wait.
     if (after < before * (1 - options_.decrease_threshold) - kMinShareChangeThousandths) {
-      reason = "share from " + from + " to " + to + " lowered from " + std::to_string(before) + " to " +
-               std::to_string(after) + " thousandths";
+      reason = to + " can spare less for " + from + ": " + std::to_string(after) + " where " +
+               std::to_string(before);
       return true;
     }
     has_increase =
@@ -177,14 +177,14 @@
     const double needed = 1000 * flow / std::max(1.0, health_view_.zones[pair.first].demand_per_second);
     if (needed > previous.shares.of(pair.first, pair.second) * (1 + options_.decrease_threshold) +
                      kMinShareChangeThousandths) {
-      reason = "share from " + pair.first + " to " + pair.second + ": " +
-               std::to_string(static_cast<int>(needed)) + " thousandths needed, " +
-               std::to_string(previous.shares.of(pair.first, pair.second)) + " allowed";
+      reason = pair.first + " needs more of " + pair.second + ": " +
+               std::to_string(static_cast<int>(needed)) + " where " +
+               std::to_string(previous.shares.of(pair.first, pair.second));
       return true;
     }
   }
   if (!has_increase || now - changed_at_ < options_.increase_delay) return false;
-  reason = "zones have more spare capacity for each other";
+  reason = "zones can spare more";
   return true;
 }
 
@@ -235,7 +235,7 @@
   entry.who = "zones";
   if (versions.ground().rules->zones.otherwise > options_.traffic_split.min_share_thousandths) {
     if (versions.ground_next() || (pending_ground_ == versions.ground().number && now < pending_until_)) {
-      reason_ = "waiting until the common ground allows no more than the minimum share between zones";
+      reason_ = "the common ground is being narrowed to what every table allows";
       return std::nullopt;
     }
     pending_ground_ = versions.ground().number;
@@ -245,14 +245,14 @@
     entry.kind = shared_config::Entry::Kind::propose_ground;
     entry.base = versions.ground().number;
     entry.text = shared_config::text_of(ground);
-    entry.why = "minimum share that each zone may always send to each other zone";
+    entry.why = "what zones may send each other without asking";
     entry.id = make_proposal_id(now);
     return entry;
   }
   const TrafficSplit split = split_traffic(traffic, health_view_.broken_links, options_.traffic_split);
   std::string reason;
   if (!is_worth_proposing(now, previous, decision, split, reason)) {
-    reason_ = "no change needed";
+    reason_ = "nothing to change";
     return std::nullopt;
   }
   if (pending_base_ == newest.number && now < pending_until_)
