--- a/src/cluster/admin_api.cpp
+++ b/src/cluster/admin_api.cpp
@@ -18,387 +18,434 @@
 
 using json = nlohmann::ordered_json;
 
-std::string text(const json& j) { return j.dump(-1, ' ', false, json::error_handler_t::replace) + "\n"; }
-double ms(Time t) { return static_cast<double>(t / 1000) / 1000; }
+std::string to_text(const json& j) { return j.dump(-1, ' ', false, json::error_handler_t::replace) + "\n"; }
+double milliseconds(Time t) { return static_cast<double>(t / 1000) / 1000; }
 
-json of(const shared_config::Version& v) {
+json version_json(const shared_config::Version& v) {
   return {{"number", v.number}, {"hash", v.hash}, {"who", v.who},
           {"why", v.why},       {"id", v.id},     {"rules", v.text}};
 }
 
 }  // namespace
 
-AdminApi::AdminApi(event_base* base, ClusterNode& fleet) : fleet_(fleet), http_(evhttp_new(base)) {
-  const std::string& at = fleet.options().operators;
-  const auto colon = at.rfind(':');
+AdminApi::AdminApi(event_base* base, ClusterNode& node) : node_(node), http_(evhttp_new(base)) {
+  const std::string& address = node.options().operators;
+  const auto colon = address.rfind(':');
   evhttp_set_max_body_size(http_, 256 << 10);
   evhttp_set_max_headers_size(http_, 8 << 10);
   evhttp_set_timeout(http_, 30);
   evhttp_set_allowed_methods(http_, EVHTTP_REQ_GET | EVHTTP_REQ_POST);
   evhttp_set_gencb(
       http_,
-      [](evhttp_request* r, void* self) {
-        guarded("operators", [&] { static_cast<AdminApi*>(self)->asked(r); });
+      [](evhttp_request* request, void* self) {
+        guarded("operators", [&] { static_cast<AdminApi*>(self)->handle_request(request); });
       },
       this);
-  if (evhttp_bind_socket(http_, at.substr(0, colon).c_str(),
-                         static_cast<std::uint16_t>(std::stoi(at.substr(colon + 1)))) != 0) {
+  if (evhttp_bind_socket(http_, address.substr(0, colon).c_str(),
+                         static_cast<std::uint16_t>(std::stoi(address.substr(colon + 1)))) != 0) {
     evhttp_free(http_);
-    throw std::runtime_error("fleet: the operators' address " + at + " can't be had");
+    throw std::runtime_error("fleet.operators: can't listen on " + address);
   }
 }
 
 AdminApi::~AdminApi() {
-  *here_ = false;
+  *is_alive_ = false;
   evhttp_free(http_);
 }
 
-void AdminApi::reply(evhttp_request* r, int status, const std::string& body) {
-  evhttp_add_header(evhttp_request_get_output_headers(r), "Content-Type", "application/json");
+void AdminApi::send_reply(evhttp_request* request, int status, const std::string& body) {
+  evhttp_add_header(evhttp_request_get_output_headers(request), "Content-Type", "application/json");
   evbuffer* out = evbuffer_new();
   evbuffer_add(out, body.data(), body.size());
-  evhttp_send_reply(r, status, nullptr, out);
+  evhttp_send_reply(request, status, nullptr, out);
   evbuffer_free(out);
 }
 
-void AdminApi::asked(evhttp_request* r) {
-  const evhttp_uri* uri = evhttp_request_get_evhttp_uri(r);
-  const char* raw = uri ? evhttp_uri_get_path(uri) : nullptr;
-  const std::string path = raw ? raw : "";
-  const bool get = evhttp_request_get_command(r) == EVHTTP_REQ_GET;
-  if (get && path == "/peers") return reply(r, 200, peers());
-  if (!fleet_.accord() && path.rfind("/accord/", 0) == 0)
-    return reply(r, 404, text({{"error", "this broker's options state no accord"}}));
-  if (get && path == "/accord/status") return reply(r, 200, status());
-  if (get && path == "/accord/history") return reply(r, 200, history());
-  if (get && path == "/upkeep") {
-    if (!fleet_.works()) return reply(r, 404, text({{"error", "this broker's options state no upkeep"}}));
-    return reply(r, 200, works());
+void AdminApi::handle_request(evhttp_request* request) {
+  const evhttp_uri* uri = evhttp_request_get_evhttp_uri(request);
+  const char* raw_path = uri ? evhttp_uri_get_path(uri) : nullptr;
+  const std::string path = raw_path ? raw_path : "";
+  const bool is_get = evhttp_request_get_command(request) == EVHTTP_REQ_GET;
+  if (is_get && path == "/peers") return send_reply(request, 200, peers_json());
+  if (!node_.shared_config_node() && path.rfind("/accord/", 0) == 0)
+    return send_reply(request, 404, to_text({{"error", "fleet.accord is not configured on this broker"}}));
+  if (is_get && path == "/accord/status") return send_reply(request, 200, status_json());
+  if (is_get && path == "/accord/history") return send_reply(request, 200, history_json());
+  if (is_get && path == "/upkeep") {
+    if (!node_.maintenance_agent())
+      return send_reply(request, 404, to_text({{"error", "fleet.upkeep is not configured on this broker"}}));
+    return send_reply(request, 200, maintenance_json());
   }
-  if (path == "/zones" && !fleet_.zone_part())
-    return reply(r, 404, text({{"error", "this broker's options state no zones"}}));
-  if (get && path == "/zones") return reply(r, 200, zones());
-  if (get && path == "/zones/crossing" && fleet_.crossing()) return reply(r, 200, crossing());
-  if (!get && path == "/accord/propose") return propose(r);
-  reply(r, 404, text({{"error", "no such path"}}));
+  if (path == "/zones" && !node_.zone_failover())
+    return send_reply(request, 404, to_text({{"error", "fleet.zones is not configured on this broker"}}));
+  if (is_get && path == "/zones") return send_reply(request, 200, zones_json());
+  if (is_get && path == "/zones/crossing" && node_.cross_zone_budget())
+    return send_reply(request, 200, cross_zone_traffic_json());
+  if (!is_get && path == "/accord/propose") return propose(request);
+  send_reply(request, 404, to_text({{"error", "no such path"}}));
 }
 
-std::string AdminApi::peers() const {
-  const auto& p = fleet_.peers();
-  json all = json::array();
-  for (const auto* member : p.members().all())
-    all.push_back({{"name", member->update.name},
-                   {"health", membership::name_of(member->update.state)},
-                   {"incarnation", member->update.incarnation},
-                   {"address", member->address()},
-                   {"stated", member->is_configured}});
-  const auto& c = p.counters();
-  const auto& h = fleet_.hearsay();
+std::string AdminApi::peers_json() const {
+  const auto& membership = node_.membership();
+  json members = json::array();
+  for (const auto* member : membership.members().all())
+    members.push_back({{"name", member->update.name},
+                       {"health", membership::name_of(member->update.state)},
+                       {"incarnation", member->update.incarnation},
+                       {"address", member->address()},
+                       {"stated", member->is_configured}});
+  const auto& counters = membership.counters();
+  const auto& gossip = node_.gossip();
   json dropped;
   for (const auto reason : transport::kDropReasons)
-    dropped[transport::name_of(reason)] = fleet_.transport().drop_count(reason);
-  const auto& t = fleet_.transport().counters();
-  return text(
-      {{"name", p.self().name},
-       {"incarnation", p.self().incarnation},
-       {"local_health", p.local_health_score()},
-       {"alive", p.live_member_count()},
-       {"peers", all},
-       {"pings", c.probes},
-       {"pings_failed", c.probes_failed},
-       {"suspected", c.suspicions},
-       {"refuted", c.refutations},
-       {"conflicts", c.address_conflicts},
-       {"lists",
-        {{"own", h.own()}, {"newest", h.newest()}, {"behind", h.behind()}, {"withholding", h.withholding()}}},
-       {"talk",
-        {{"bytes_out", t.bytes_sent},
-         {"bytes_in", t.bytes_received},
-         {"not_sent", t.messages_not_sent},
-         {"dropped", dropped}}}});
+    dropped[transport::name_of(reason)] = node_.transport().drop_count(reason);
+  const auto& transport_counters = node_.transport().counters();
+  return to_text({{"name", membership.self().name},
+                  {"incarnation", membership.self().incarnation},
+                  {"local_health", membership.local_health_score()},
+                  {"alive", membership.live_member_count()},
+                  {"peers", members},
+                  {"pings", counters.probes},
+                  {"pings_failed", counters.probes_failed},
+                  {"suspected", counters.suspicions},
+                  {"refuted", counters.refutations},
+                  {"conflicts", counters.address_conflicts},
+                  {"lists",
+                   {{"own", gossip.own()},
+                    {"newest", gossip.newest()},
+                    {"behind", gossip.behind()},
+                    {"withholding", gossip.withholding()}}},
+                  {"talk",
+                   {{"bytes_out", transport_counters.bytes_sent},
+                    {"bytes_in", transport_counters.bytes_received},
+                    {"not_sent", transport_counters.messages_not_sent},
+                    {"dropped", dropped}}}});
 }
 
-std::string AdminApi::status() const {
-  const auto s = fleet_.accord()->status(now());
+std::string AdminApi::status_json() const {
+  const auto status = node_.shared_config_node()->status(now());
   json voters = json::array();
-  for (const auto& v : s.voters) voters.push_back({{"name", v.name}, {"votes", v.votes}});
-  return text(
-      {{"name", fleet_.options().name},
-       {"acts_on", s.acting.low ? json{{"low", s.acting.low}, {"high", s.acting.high}} : json("ground")},
-       {"ground", s.ground},
-       {"ground_next", s.ground_next},
-       {"lease_left_ms", ms(s.lease_left)},
-       {"rules", shared_config::text_of(*s.acting.rules)},
-       {"hash", shared_config::hash_of(shared_config::text_of(*s.acting.rules))},
-       {"leader", s.leader},
-       {"leads", s.leads},
-       {"term", s.term},
-       {"votes", s.votes},
-       {"store_failed", s.store_failed},
-       {"have", s.have},
-       {"newest", s.newest},
-       {"in_force", s.in_force},
+  for (const auto& voter : status.voters) voters.push_back({{"name", voter.name}, {"votes", voter.votes}});
+  return to_text(
+      {{"name", node_.options().name},
+       {"acts_on",
+        status.acting.low ? json{{"low", status.acting.low}, {"high", status.acting.high}} : json("ground")},
+       {"ground", status.ground},
+       {"ground_next", status.ground_next},
+       {"lease_left_ms", milliseconds(status.lease_left)},
+       {"rules", shared_config::text_of(*status.acting.rules)},
+       {"hash", shared_config::hash_of(shared_config::text_of(*status.acting.rules))},
+       {"leader", status.leader},
+       {"leads", status.leads},
+       {"term", status.term},
+       {"votes", status.votes},
+       {"store_failed", status.store_failed},
+       {"have", status.have},
+       {"newest", status.newest},
+       {"in_force", status.in_force},
        {"voters", voters},
-       {"force_waits_for", s.force_waits_for},
-       {"ground_waits_for", s.ground_waits_for}});
+       {"force_waits_for", status.force_waits_for},
+       {"ground_waits_for", status.ground_waits_for}});
 }
 
-std::string AdminApi::history() const {
+std::string AdminApi::history_json() const {
   json versions = json::array();
-  for (const auto& v : fleet_.accord()->history()) versions.push_back(of(v));
-  const auto& h = fleet_.accord()->holder();
-  json out{{"versions", versions}, {"ground", of(h.ground())}};
-  if (h.ground_next()) out["ground_next"] = of(*h.ground_next());
-  return text(out);
+  for (const auto& version : node_.shared_config_node()->history()) versions.push_back(version_json(version));
+  const auto& holder = node_.shared_config_node()->holder();
+  json history{{"versions", versions}, {"ground", version_json(holder.ground())}};
+  if (holder.ground_next()) history["ground_next"] = version_json(*holder.ground_next());
+  return to_text(history);
 }
 
-// Every broker tells what it acts on; the evidence stands at the leader.
-std::string AdminApi::zones() const {
-  const auto& z = *fleet_.zone_part();
-  // Without an accord it decides for itself, from a book of its own.
-  const shared_config::Versions* own = fleet_.alone();
-  const auto s = own ? shared_config::Status{} : fleet_.accord()->status(now());
-  const auto& held = own ? own->all() : fleet_.accord()->holder().versions();
-  const auto at = held.find(own ? own->newest() : s.acting.high);
-  const shared_config::Rules& rules = own ? *at->second.rules : *s.acting.rules;
-  json acts = json::object(), states = json::object(), shares = json::array(), seen = json::array(),
-       orders = json::object();
-  const auto& limits = fleet_.zones();
+// Every broker reports the limits that it acts on; the leader adds the evidence for its decisions.
+std::string AdminApi::zones_json() const {
+  const auto& zone_failover = *node_.zone_failover();
+  // Without a shared configuration the broker decides by itself and keeps versions of its own.
+  const shared_config::Versions* standalone = node_.standalone_zone_versions();
+  const auto status = standalone ? shared_config::Status{} : node_.shared_config_node()->status(now());
+  const auto& versions = standalone ? standalone->all() : node_.shared_config_node()->holder().versions();
+  const auto at = versions.find(standalone ? standalone->newest() : status.acting.high);
+  const shared_config::Rules& rules = standalone ? *at->second.rules : *status.acting.rules;
+  json acts = json::object();
+  json states = json::object();
+  json shares = json::array();
+  json seen = json::array();
+  json orders = json::object();
+  const auto& limits = node_.zones();
   for (std::size_t i = 0; i < limits.size(); ++i)
-    acts[z.zone_name(static_cast<int>(i))] = static_cast<int>(1000 * limits[i].max_share + 0.5);
-  if (at != held.end())
+    acts[zone_failover.zone_name(static_cast<int>(i))] = static_cast<int>(1000 * limits[i].max_share + 0.5);
+  if (at != versions.end())
     for (const auto& note = zone_failover::parse_decision(at->second.note);
          const auto* all : {&note.zones, &note.regions})
-      for (const auto& [name, one] : *all)
+      for (const auto& [name, zone_state] : *all)
         states[all == &note.zones ? name : zone_failover::region_key(name)] = {
-            {"state", zone_failover::name_of(one.state)}, {"share", one.local_share_thousandths}};
-  for (const auto& [pair, most] : rules.zones.most)
-    shares.push_back({{"from", pair.first}, {"to", pair.second}, {"most", most}});
-  json out{{"name", fleet_.options().name},
-           {"home", z.options().home_zone},
-           {"leader", s.leader},
-           {"leads", s.leads || own},
-           {"version", own ? own->newest() : s.acting.high},
-           {"why", at == held.end() ? "" : at->second.why},
+            {"state", zone_failover::name_of(zone_state.state)},
+            {"share", zone_state.local_share_thousandths}};
+  for (const auto& [pair, max_share] : rules.zones.most)
+    shares.push_back({{"from", pair.first}, {"to", pair.second}, {"most", max_share}});
+  json out{{"name", node_.options().name},
+           {"home", zone_failover.options().home_zone},
+           {"leader", status.leader},
+           {"leads", status.leads || standalone},
+           {"version", standalone ? standalone->newest() : status.acting.high},
+           {"why", at == versions.end() ? "" : at->second.why},
            {"acts_on", acts},
            {"states", states},
            {"otherwise", rules.zones.otherwise},
            {"shares", shares}};
-  if (!s.leads && !own) return text(out);
-  for (const auto& e : z.explain())
-    seen.push_back({{"zone", e.zone},
-                    {"state", zone_failover::name_of(e.state)},
-                    {"share", e.local_share_thousandths},
-                    {"ordered", e.order},
-                    {"looks", zone_failover::name_of(e.health.status)},
-                    {"why", e.health.reason},
-                    {"wanted", e.health.demand_per_second},
-                    {"load", e.health.load_per_second},
-                    {"capacity", e.health.capacity_per_second},
-                    {"hosts", e.health.endpoints_in_service},
-                    {"brokers", e.health.reporting_brokers}});
+  if (!status.leads && !standalone) return to_text(out);
+  for (const auto& explanation : zone_failover.explain())
+    seen.push_back({{"zone", explanation.zone},
+                    {"state", zone_failover::name_of(explanation.state)},
+                    {"share", explanation.local_share_thousandths},
+                    {"ordered", explanation.order},
+                    {"looks", zone_failover::name_of(explanation.health.status)},
+                    {"why", explanation.health.reason},
+                    {"wanted", explanation.health.demand_per_second},
+                    {"load", explanation.health.load_per_second},
+                    {"capacity", explanation.health.capacity_per_second},
+                    {"hosts", explanation.health.endpoints_in_service},
+                    {"brokers", explanation.health.reporting_brokers}});
   json cut = json::array();
-  for (const auto& [from, to] : z.health_view().broken_links) cut.push_back({{"from", from}, {"to", to}});
-  for (const auto& [zone, o] : (own ? *own : fleet_.accord()->engine()->versions()).orders())
-    orders[zone] = {{"what", o.what}, {"who", o.who}, {"why", o.why}};
-  out["seen"] = seen, out["cut"] = cut, out["outvoted"] = z.health_view().outvoted_brokers,
+  for (const auto& [from, to] : zone_failover.health_view().broken_links)
+    cut.push_back({{"from", from}, {"to", to}});
+  for (const auto& [zone, order] :
+       (standalone ? *standalone : node_.shared_config_node()->engine()->versions()).orders())
+    orders[zone] = {{"what", order.what}, {"who", order.who}, {"why", order.why}};
+  out["seen"] = seen;
+  out["cut"] = cut;
+  out["outvoted"] = zone_failover.health_view().outvoted_brokers;
   out["orders"] = orders;
-  out["next"] = z.reason();
-  return text(out);
+  out["next"] = zone_failover.reason();
+  return to_text(out);
 }
 
-// Parts and bytes between this broker and each zone, by op type, and what is left of the budgets.
-std::string AdminApi::crossing() const {
-  const auto& z = *fleet_.zone_part();
-  const auto& c = *fleet_.crossing();
-  const auto& names = fleet_.op_types();
-  json table = json::array(), budgets = json::array();
-  for (const auto& [key, t] : c.counters())
-    table.push_back({{"zone", z.zone_name(key.first)},
+// Attempts and bytes between this broker and each zone, by request class, and the state of the byte budgets.
+std::string AdminApi::cross_zone_traffic_json() const {
+  const auto& zone_failover = *node_.zone_failover();
+  const auto& budget = *node_.cross_zone_budget();
+  const auto& names = node_.request_classes();
+  json table = json::array();
+  json budgets = json::array();
+  for (const auto& [key, counters] : budget.counters())
+    table.push_back({{"zone", zone_failover.zone_name(key.first)},
                      {"crosses", key.first != 0},
                      {"op_type", key.second < 0 ? "" : names.at(static_cast<std::size_t>(key.second))},
-                     {"parts", t.attempts},
-                     {"out", t.bytes_out},
-                     {"in", t.bytes_in},
-                     {"parts_over_budget", t.attempts_over_budget},
-                     {"bytes_over_budget", t.bytes_over_budget}});
+                     {"parts", counters.attempts},
+                     {"out", counters.bytes_out},
+                     {"in", counters.bytes_in},
+                     {"parts_over_budget", counters.attempts_over_budget},
+                     {"bytes_over_budget", counters.bytes_over_budget}});
   for (std::size_t i = 0; i < names.size(); ++i) {
-    const auto b = c.budget_state(now(), static_cast<int>(i));
-    if (b.bytes_per_second == zone_failover::kNoBudget) continue;
+    const auto state = budget.budget_state(now(), static_cast<int>(i));
+    if (state.bytes_per_second == zone_failover::kNoBudget) continue;
     budgets.push_back({{"op_type", names[i]},
-                       {"bytes_a_second", b.bytes_per_second},
-                       {"left", static_cast<long long>(b.remaining_bytes)},
-                       {"a_send", static_cast<long long>(b.expected_attempt_bytes)},
-                       {"sends_out", b.attempts_in_flight},
-                       {"spent", c.is_exhausted(now(), static_cast<int>(i))}});
+                       {"bytes_a_second", state.bytes_per_second},
+                       {"left", static_cast<long long>(state.remaining_bytes)},
+                       {"a_send", static_cast<long long>(state.expected_attempt_bytes)},
+                       {"sends_out", state.attempts_in_flight},
+                       {"spent", budget.is_exhausted(now(), static_cast<int>(i))}});
   }
-  return text({{"name", fleet_.options().name},
-               {"home", z.options().home_zone},
-               {"table", table},
-               {"budgets", budgets}});
+  return to_text({{"name", node_.options().name},
+                  {"home", zone_failover.options().home_zone},
+                  {"table", table},
+                  {"budgets", budgets}});
 }
 
-// The works as the log has them, and at the leader what each waits for and when it is to begin.
-std::string AdminApi::works() const {
-  const auto s = fleet_.accord()->status(now());
-  const auto* book = fleet_.works()->book();
-  json out{{"name", fleet_.options().name}, {"leader", s.leader}, {"leads", s.leads && book}};
-  if (!s.leads || !book) return text(out);
-  const auto& waits = fleet_.works()->conduct().waiting_reasons();
-  json works = json::array(), plan = json::array(), nodes = json::array();
-  for (const auto& [n, w] : book->jobs()) {
-    const auto it = waits.find(n);
+// The maintenance jobs as the log has them. At the leader also the reason why each job waits and its planned
+// start.
+std::string AdminApi::maintenance_json() const {
+  const auto status = node_.shared_config_node()->status(now());
+  const auto* queue = node_.maintenance_agent()->job_queue();
+  json out{{"name", node_.options().name}, {"leader", status.leader}, {"leads", status.leads && queue}};
+  if (!status.leads || !queue) return to_text(out);
+  const auto& waits = node_.maintenance_agent()->controller().waiting_reasons();
+  json jobs = json::array();
+  json plan = json::array();
+  json nodes = json::array();
+  for (const auto& [number, job] : queue->jobs()) {
+    const auto it = waits.find(number);
     std::string why = it == waits.end() ? "" : it->second;
-    if (w.state == maintenance::JobState::kQueued && why.empty()) why = book->blocking_reason(w.request, n);
-    works.push_back(
-        {{"number", n},
-         {"machine", w.request.machine},
-         {"step", maintenance::job_state_name(w.state)},
-         {"held", w.is_held},
-         {"since_ms", w.state_since / maintenance::kMillisecond},
-         {"last", w.state_reason},
+    if (job.state == maintenance::JobState::kQueued && why.empty())
+      why = queue->blocking_reason(job.request, number);
+    jobs.push_back(
+        {{"number", number},
+         {"machine", job.request.machine},
+         {"step", maintenance::job_state_name(job.state)},
+         {"held", job.is_held},
+         {"since_ms", job.state_since / maintenance::kMillisecond},
+         {"last", job.state_reason},
          {"waits", why},
-         {"who", w.requested_by},
-         {"why", w.reason},
-         {"nodes", w.request.endpoints},
-         {"brokers", w.request.brokers},
-         {"zone", w.request.zone},
-         {"region", w.request.region},
-         {"rack", w.request.rack},
-         {"endangers", w.is_open() ? json(book->shards_below_min_replicas(w.request)) : json::array()}});
+         {"who", job.requested_by},
+         {"why", job.reason},
+         {"nodes", job.request.endpoints},
+         {"brokers", job.request.brokers},
+         {"zone", job.request.zone},
+         {"region", job.request.region},
+         {"rack", job.request.rack},
+         {"endangers", job.is_open() ? json(queue->shards_below_min_replicas(job.request)) : json::array()}});
   }
-  // As every voter makes it from the same entries: as of the facts said last.
-  for (const auto& p : maintenance::plan_jobs(*book, book->fleet_status_at())) {
-    const auto& w = book->jobs().at(p.job);
-    plan.push_back({{"work", p.job},
-                    {"machine", w.request.machine},
-                    {"start_ms", p.start == kNever ? 0 : p.start / maintenance::kMillisecond},
-                    {"length_ms", (w.request.duration + book->fleet_status().limits.transition_time) /
+  // Planned from the last fleet status in the log, as every voter plans it from the same entries.
+  for (const auto& planned : maintenance::plan_jobs(*queue, queue->fleet_status_at())) {
+    const auto& job = queue->jobs().at(planned.job);
+    plan.push_back({{"work", planned.job},
+                    {"machine", job.request.machine},
+                    {"start_ms", planned.start == kNever ? 0 : planned.start / maintenance::kMillisecond},
+                    {"length_ms", (job.request.duration + queue->fleet_status().limits.transition_time) /
                                       maintenance::kMillisecond},
-                    {"in_time", p.is_in_time}});
+                    {"in_time", planned.is_in_time}});
   }
-  const std::set<std::string> out_nodes = book->endpoints_out();
-  for (const auto& [name, n] : book->fleet_status().endpoints)
+  const std::set<std::string> out_nodes = queue->endpoints_out();
+  for (const auto& [name, endpoint] : queue->fleet_status().endpoints)
     nodes.push_back({{"name", name},
-                     {"cell", n.ring_position},
-                     {"zone", n.zone},
-                     {"ready", n.is_ready},
-                     {"warm", n.is_warm},
+                     {"cell", endpoint.ring_position},
+                     {"zone", endpoint.zone},
+                     {"ready", endpoint.is_ready},
+                     {"warm", endpoint.is_warm},
                      {"out", out_nodes.count(name) != 0}});
-  out["held"] = book->is_held(), out["works"] = works, out["plan"] = plan;
-  out["facts"] = {{"revision", book->fleet_status().revision},
-                  {"cells", book->fleet_status().ring_size},
-                  {"width", book->fleet_status().replicas_per_shard},
-                  {"holders_least", book->fleet_status().limits.min_warm_replicas},
+  out["held"] = queue->is_held();
+  out["works"] = jobs;
+  out["plan"] = plan;
+  out["facts"] = {{"revision", queue->fleet_status().revision},
+                  {"cells", queue->fleet_status().ring_size},
+                  {"width", queue->fleet_status().replicas_per_shard},
+                  {"holders_least", queue->fleet_status().limits.min_warm_replicas},
                   {"nodes", nodes}};
-  return text(out);
+  return to_text(out);
 }
 
-// What an operator says of works, as the log's entry has it; none where it is not well formed.
-std::optional<std::string> AdminApi::work_op(const nlohmann::json& j) {
-  maintenance::JobOperation op;
-  timespec t{};
-  clock_gettime(CLOCK_REALTIME, &t);
-  op.stated_at = static_cast<Time>(t.tv_sec) * kSecond + t.tv_nsec;
+// Returns an operator's request on maintenance jobs, encoded for the log entry; none if it is not
+// well-formed.
+std::optional<std::string> AdminApi::parse_job_operation(const nlohmann::json& body) {
+  maintenance::JobOperation operation;
+  timespec wall_time{};
+  clock_gettime(CLOCK_REALTIME, &wall_time);
+  operation.stated_at = static_cast<Time>(wall_time.tv_sec) * kSecond + wall_time.tv_nsec;
   const auto number = [&](const char* name) -> std::optional<std::uint64_t> {
-    const auto it = j.find(name);
-    if (it == j.end() || !it->is_number_unsigned()) return std::nullopt;
+    const auto it = body.find(name);
+    if (it == body.end() || !it->is_number_unsigned()) return std::nullopt;
     return it->get<std::uint64_t>();
   };
-  op.hold = number("hold"), op.resume = number("resume"), op.cancel = number("cancel"),
-  op.done = number("done");
-  if (const auto r = j.find("request"); r != j.end() && r->is_object()) {
+  operation.hold = number("hold");
+  operation.resume = number("resume");
+  operation.cancel = number("cancel");
+  operation.done = number("done");
+  if (const auto member = body.find("request"); member != body.end() && member->is_object()) {
     maintenance::JobRequest request;
-    const auto word = [&](const char* name, std::string& into) {
-      if (const auto it = r->find(name); it != r->end() && it->is_string()) into = it->get<std::string>();
+    const auto read_string = [&](const char* name, std::string& into) {
+      if (const auto it = member->find(name); it != member->end() && it->is_string())
+        into = it->get<std::string>();
     };
-    const auto words = [&](const char* name, std::vector<std::string>& into) {
-      if (const auto it = r->find(name); it != r->end() && it->is_array())
-        for (const auto& x : *it)
-          if (x.is_string()) into.push_back(x.get<std::string>());
+    const auto read_strings = [&](const char* name, std::vector<std::string>& into) {
+      if (const auto it = member->find(name); it != member->end() && it->is_array())
+        for (const auto& element : *it)
+          if (element.is_string()) into.push_back(element.get<std::string>());
     };
-    const auto ms_of = [&](const char* name, Time& into) {
-      if (const auto it = r->find(name); it != r->end() && it->is_number())
+    const auto read_milliseconds = [&](const char* name, Time& into) {
+      if (const auto it = member->find(name); it != member->end() && it->is_number())
         into = static_cast<Time>(std::clamp(it->get<double>(), 0.0, 4e12)) * maintenance::kMillisecond;
     };
-    word("machine", request.machine), word("rack", request.rack), word("zone", request.zone);
-    word("region", request.region), words("nodes", request.endpoints), words("brokers", request.brokers);
-    ms_of("earliest_ms", request.earliest_start), ms_of("latest_ms", request.latest_end);
-    ms_of("length_ms", request.duration);
-    if (const auto p = r->find("priority"); p != r->end() && p->is_number_integer())
-      request.priority = static_cast<int>(std::clamp<std::int64_t>(p->get<std::int64_t>(), -1000, 1000));
-    if (const auto e = r->find("emergency"); e != r->end() && e->is_boolean())
-      request.is_emergency = e->get<bool>();
-    op.request = std::move(request);
+    read_string("machine", request.machine);
+    read_string("rack", request.rack);
+    read_string("zone", request.zone);
+    read_string("region", request.region);
+    read_strings("nodes", request.endpoints);
+    read_strings("brokers", request.brokers);
+    read_milliseconds("earliest_ms", request.earliest_start);
+    read_milliseconds("latest_ms", request.latest_end);
+    read_milliseconds("length_ms", request.duration);
+    if (const auto priority = member->find("priority");
+        priority != member->end() && priority->is_number_integer())
+      request.priority =
+          static_cast<int>(std::clamp<std::int64_t>(priority->get<std::int64_t>(), -1000, 1000));
+    if (const auto emergency = member->find("emergency");
+        emergency != member->end() && emergency->is_boolean())
+      request.is_emergency = emergency->get<bool>();
+    operation.request = std::move(request);
   }
-  const int said = op.request.has_value() + op.hold.has_value() + op.resume.has_value() +
-                   op.cancel.has_value() + op.done.has_value();
-  if (said != 1) return std::nullopt;
-  return maintenance::encode_operation(op);
+  const int operations = operation.request.has_value() + operation.hold.has_value() +
+                         operation.resume.has_value() + operation.cancel.has_value() +
+                         operation.done.has_value();
+  if (operations != 1) return std::nullopt;
+  return maintenance::encode_operation(operation);
 }
 
-// A proposal whose answer is awaited; its asker may leave before.
-struct AdminApi::Waiting {
+// A proposal without a verdict yet. The client may disconnect before there is one.
+struct AdminApi::PendingProposal {
   evhttp_request* request;
-  std::shared_ptr<bool> here;
-  AdminApi* home;
+  std::shared_ptr<bool> api_is_alive;
+  AdminApi* api;
 };
 
-void AdminApi::propose(evhttp_request* r) {
-  evbuffer* in = evhttp_request_get_input_buffer(r);
-  std::string body(evbuffer_get_length(in), '\0');
-  evbuffer_copyout(in, body.data(), body.size());
-  const auto j = nlohmann::json::parse(body, nullptr, false);
+void AdminApi::propose(evhttp_request* request) {
+  evbuffer* input = evhttp_request_get_input_buffer(request);
+  std::string body(evbuffer_get_length(input), '\0');
+  evbuffer_copyout(input, body.data(), body.size());
+  const auto json_body = nlohmann::json::parse(body, nullptr, false);
   const auto field = [&](const char* name) {
-    const auto it = j.find(name);
-    return it != j.end() && it->is_string() ? it->get<std::string>() : std::string();
+    const auto it = json_body.find(name);
+    return it != json_body.end() && it->is_string() ? it->get<std::string>() : std::string();
   };
-  if (!j.is_object()) return reply(r, 400, text({{"error", "the body is not a JSON object"}}));
-  shared_config::Entry e;
+  if (!json_body.is_object())
+    return send_reply(request, 400, to_text({{"error", "the body is not a JSON object"}}));
+  shared_config::Entry entry;
   const std::string kind = field("kind");
   if (kind == "version")
-    e.kind = shared_config::Entry::Kind::propose;
+    entry.kind = shared_config::Entry::Kind::propose;
   else if (kind == "ground")
-    e.kind = shared_config::Entry::Kind::propose_ground;
+    entry.kind = shared_config::Entry::Kind::propose_ground;
   else if (kind == "strike")
-    e.kind = shared_config::Entry::Kind::strike;
+    entry.kind = shared_config::Entry::Kind::strike;
   else if (kind == "order")
-    e.kind = shared_config::Entry::Kind::order;
+    entry.kind = shared_config::Entry::Kind::order;
   else if (kind == "work")
-    e.kind = shared_config::Entry::Kind::board;
+    entry.kind = shared_config::Entry::Kind::board;
   else
-    return reply(r, 400, text({{"error", "kind is neither version, ground, strike, order nor work"}}));
-  e.text = field("rules");
-  if (e.kind == shared_config::Entry::Kind::board) {
-    const auto op = work_op(j);
-    if (!op)
-      return reply(
-          r, 400,
-          text({{"error", "of a work one thing must be said: request, hold, resume, cancel or done"}}));
-    e.text = *op;
+    return send_reply(request, 400,
+                      to_text({{"error", "kind is neither version, ground, strike, order nor work"}}));
+  entry.text = field("rules");
+  if (entry.kind == shared_config::Entry::Kind::board) {
+    const auto operation = parse_job_operation(json_body);
+    if (!operation)
+      return send_reply(
+          request, 400,
+          to_text({{"error", "a work takes exactly one of request, hold, resume, cancel and done"}}));
+    entry.text = *operation;
   }
-  e.id = field("id"), e.name = field("name"), e.who = field("who"), e.why = field("why");
-  if (e.id.empty() || e.id.size() > 64 || e.who.empty() || e.who.size() > 256 || e.why.empty() ||
-      e.why.size() > 1024)
-    return reply(r, 400, text({{"error", "id, who and why must be stated, and short"}}));
-  if (const auto b = j.find("base"); b != j.end() && b->is_number_unsigned())
-    e.base = b->get<std::uint64_t>();
-  if (waiting_ >= kWaitingMost) return reply(r, 503, text({{"error", "too many proposals wait"}}));
-  ++waiting_;
-  // The library frees it once it is answered; should its connection go before, it is left to this.
-  evhttp_request_own(r);
-  auto waiting = std::make_shared<Waiting>(Waiting{r, here_, this});
-  fleet_.propose(std::move(e), [waiting](const std::optional<shared_config::Verdict>& v) {
-    if (!*waiting->here) return evhttp_request_free(waiting->request);
-    --waiting->home->waiting_;
-    evhttp_request* request = waiting->request;
-    if (!evhttp_request_get_connection(request)) return evhttp_request_free(request);
-    if (!v)
-      reply(request, 504, text({{"error", "no verdict in time; it may yet be taken: ask with the same id"}}));
-    else if (v->number)
-      reply(request, 200, text({{"number", v->number}}));
+  entry.id = field("id");
+  entry.name = field("name");
+  entry.who = field("who");
+  entry.why = field("why");
+  if (entry.id.empty() || entry.id.size() > 64 || entry.who.empty() || entry.who.size() > 256 ||
+      entry.why.empty() || entry.why.size() > 1024)
+    return send_reply(
+        request, 400,
+        to_text({{"error", "id (at most 64 bytes), who (at most 256) and why (at most 1024) are required"}}));
+  if (const auto base = json_body.find("base"); base != json_body.end() && base->is_number_unsigned())
+    entry.base = base->get<std::uint64_t>();
+  if (pending_proposals_ >= kMaxPendingProposals)
+    return send_reply(request, 503,
+                      to_text({{"error", std::to_string(kMaxPendingProposals) +
+                                             " proposals are pending already, try again later"}}));
+  ++pending_proposals_;
+  // libevent frees the request once it is answered. If the connection closes before, this code has to
+  // free it.
+  evhttp_request_own(request);
+  auto pending = std::make_shared<PendingProposal>(PendingProposal{request, is_alive_, this});
+  node_.propose(std::move(entry), [pending](const std::optional<shared_config::Verdict>& verdict) {
+    if (!*pending->api_is_alive) return evhttp_request_free(pending->request);
+    --pending->api->pending_proposals_;
+    evhttp_request* client_request = pending->request;
+    if (!evhttp_request_get_connection(client_request)) return evhttp_request_free(client_request);
+    if (!verdict)
+      send_reply(
+          client_request, 504,
+          to_text({{"error",
+                    "no verdict in time; the proposal may still be accepted: repeat it with the same id"}}));
+    else if (verdict->number)
+      send_reply(client_request, 200, to_text({{"number", verdict->number}}));
     else
-      reply(request, 409, text({{"refused", v->refused}}));
+      send_reply(client_request, 409, to_text({{"refused", verdict->refused}}));
   });
 }
 
--- a/src/cluster/admin_api.h
+++ b/src/cluster/admin_api.h
@@ -1,10 +1,12 @@
-// The operators' address: what this broker knows of the others and of the versions, and the door for
-// proposals. HTTP and JSON for `cairnhub accord` and `cairnhub peers`; on an address of its own, never the
-// clients' one.
+// The HTTP API for operators, used by `cairnhub accord`, `cairnhub peers`, `cairnhub zones` and
+// `cairnhub upkeep`. Reports this broker's view of the cluster as JSON and takes proposals for the shared
+// log. Listens on an address of its own, never on the one for clients.
 //
 //   GET /accord/status, /accord/history, /peers, /zones, /zones/crossing, /upkeep
-//   POST /accord/propose {"kind":"version"|"ground"|"strike","rules","name","base","who","why","id"}
-//     200 {"number":N} taken, 409 {"refused":"..."}, 504 not known within its time
+//   POST /accord/propose
+//   {"kind":"version"|"ground"|"strike"|"order"|"work","rules","name","base","who","why",
+//                         "id"}
+//     200 {"number":N} accepted, 409 {"refused":"..."}, 504 no verdict in time
 #pragma once
 #include <memory>
 #include <nlohmann/json_fwd.hpp>
@@ -21,30 +23,30 @@
 
 class AdminApi {
  public:
-  // Throws std::runtime_error with one line where the address can't be had.
-  AdminApi(event_base* base, ClusterNode& fleet);
+  // Throws std::runtime_error with a one-line message if it can't listen on the configured address.
+  AdminApi(event_base* base, ClusterNode& node);
   ~AdminApi();
   AdminApi(const AdminApi&) = delete;
   AdminApi& operator=(const AdminApi&) = delete;
 
  private:
-  struct Waiting;
-  void asked(evhttp_request* r);
-  void propose(evhttp_request* r);
-  static void reply(evhttp_request* r, int status, const std::string& body);
-  std::string status() const;
-  std::string history() const;
-  std::string zones() const;
-  std::string crossing() const;
-  std::string works() const;
-  static std::optional<std::string> work_op(const nlohmann::json& said);
-  std::string peers() const;
+  struct PendingProposal;
+  void handle_request(evhttp_request* request);
+  void propose(evhttp_request* request);
+  static void send_reply(evhttp_request* request, int status, const std::string& body);
+  std::string status_json() const;
+  std::string history_json() const;
+  std::string zones_json() const;
+  std::string cross_zone_traffic_json() const;
+  std::string maintenance_json() const;
+  static std::optional<std::string> parse_job_operation(const nlohmann::json& body);
+  std::string peers_json() const;
 
-  ClusterNode& fleet_;
+  ClusterNode& node_;
   evhttp* http_;
-  std::shared_ptr<bool> here_ = std::make_shared<bool>(true);  // false once this is gone
-  static constexpr std::size_t kWaitingMost = 64;
-  std::size_t waiting_ = 0;
+  std::shared_ptr<bool> is_alive_ = std::make_shared<bool>(true);  // false once this object is destroyed
+  static constexpr std::size_t kMaxPendingProposals = 64;
+  std::size_t pending_proposals_ = 0;
 };
 
 }  // namespace cairnhub::cluster
--- a/src/cluster/cluster_node.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -17,74 +17,89 @@
 
 namespace {
 
-// What a message between brokers is, by its first byte.
-constexpr char kPeers = 'P', kAccord = 'A', kZones = 'Z', kWorks = 'U';
-// A drain heard goes on to so many at once, and each of them that did not know tells as many. Told so, a
-// share c of all hears of it with c = 1 - exp(-4 c), 0.98 (Kermack and McKendrick); digests on pings tell the
-// rest.
-constexpr int kTellOn = 4;
-constexpr std::size_t kNoticesAMessage = 24;
-constexpr Time kAskListsEvery = kSecond / 4, kAskAgentEvery = kSecond;
-// A list that is behind for so long isn't just on its way.
-constexpr Time kBehindFor = 3 * kSecond / 10;
-
-membership::MembershipOptions membership_options(const options::Fleet& o) {
+// The first byte of a message between brokers tells its kind.
+constexpr char kMembershipMessage = 'P';
+constexpr char kSharedConfigMessage = 'A';
+constexpr char kZoneReportMessage = 'Z';
+constexpr char kMaintenanceMessage = 'U';
+
+// A broker that learns of a drain sends the notice to this many others. Spread this way it reaches a share c
+// of all brokers with c = 1 - exp(-4 c), which is 0.98 (Kermack and McKendrick); the rest learn of it through
+// the digests on pings.
+constexpr int kNoticeFanout = 4;
+constexpr std::size_t kMaxNoticesPerMessage = 24;
+constexpr Time kNoticeRequestInterval = kSecond / 4;
+constexpr Time kListRequestInterval = kSecond;
+// A list that is behind for less may still be on its way from the agent.
+constexpr Time kMaxListLag = 3 * kSecond / 10;
+
+membership::MembershipOptions membership_options(const options::Fleet& options) {
   membership::MembershipOptions result;
-  result.probe_interval = o.probe;
-  result.probe_timeout = o.answer_within;
-  result.ping_resend_interval = o.answer_within / 4;
-  result.dead_member_retry_interval = std::min<Time>(kSecond, 2 * o.probe);
-  result.min_full_sync_interval = 4 * o.probe;
+  result.probe_interval = options.probe;
+  result.probe_timeout = options.answer_within;
+  result.ping_resend_interval = options.answer_within / 4;
+  result.dead_member_retry_interval = std::min<Time>(kSecond, 2 * options.probe);
+  result.min_full_sync_interval = 4 * options.probe;
   return result;
 }
 
-shared_config::Terms accord_terms(const options::Accord& o) {
-  shared_config::Terms t;
-  t.lease.stated = o.stated, t.lease.drift = o.drift;
-  t.voters = o.voters;
-  t.life = randombytes_random();
-  t.replace_after = o.replace_after;
-  // Elections take a small share of the stated time; under it the first commits after one fit as well.
+shared_config::Terms shared_config_terms(const options::Accord& options) {
+  shared_config::Terms terms;
+  terms.lease.stated = options.stated;
+  terms.lease.drift = options.drift;
+  terms.voters = options.voters;
+  terms.life = randombytes_random();
+  terms.replace_after = options.replace_after;
+  // Elections take a small share of the lease time, so that the first commits after an election fit into it
+  // as well.
   const Time ms = kSecond / 1000;
-  t.engine.election = std::clamp<Time>(o.stated / 8, 60 * ms, 300 * ms);
-  t.engine.heartbeat = t.engine.election / 5;
-  t.engine.tick = std::max<Time>(5 * ms, t.engine.election / 15);
-  return t;
-}
-
-// An op type crosses between regions only where its budget bears it: a first send, and another after it.
-constexpr int kRoundTripsInBudget = 4;
-// Parts in the window of an account that tell something.
-constexpr double kFewParts = 5;
-
-zone_failover::ZoneFailoverOptions zone_terms(const options::Zones& o) {
-  zone_failover::ZoneFailoverOptions t;
-  t.home_zone = o.home;
-  for (const auto& z : o.zones) t.zones.push_back({z.name, z.region, z.host_parts_a_second});
-  t.zone_failover.confirmation_time = o.confirm, t.zone_failover.min_dwell = o.dwell,
-  t.zone_failover.max_dwell = 16 * o.dwell, t.zone_failover.step_interval = o.step;
-  t.region_failover = t.zone_failover;
-  t.region_failover.confirmation_time = o.region_confirm, t.region_failover.min_dwell = o.region_dwell,
-  t.region_failover.max_dwell = 16 * o.region_dwell;
-  t.traffic_split.headroom_share = o.headroom, t.traffic_split.min_share_thousandths = o.ground_share;
-  // What is confirmed must rest on several reports.
-  t.report_interval = std::max<Time>(o.confirm / 4, kSecond / 20);
-  t.load_window = 2 * t.report_interval, t.health.max_report_age = 3 * t.report_interval;
-  t.health.min_attempts_per_second = kFewParts / seconds(t.load_window);
-  t.increase_delay = o.dwell;
-  t.local_queue_advantage = o.near_step, t.exploration_share = o.look_around;
-  return t;
-}
-
-const char* name_of(EndpointState s) {
-  return s == EndpointState::kReady ? "ready" : s == EndpointState::kDraining ? "draining" : "gone";
-}
-
-shared_config::Rules ground_of(const options::Accord& o) {
-  if (o.ground_file.empty()) return {};
-  std::ifstream in(o.ground_file, std::ios::binary);
-  if (!in) throw std::runtime_error(o.ground_file + ": can't be read");
-  return shared_config::parse_rules({std::istreambuf_iterator<char>(in), {}}, o.ground_file);
+  terms.engine.election = std::clamp<Time>(options.stated / 8, 60 * ms, 300 * ms);
+  terms.engine.heartbeat = terms.engine.election / 5;
+  terms.engine.tick = std::max<Time>(5 * ms, terms.engine.election / 15);
+  return terms;
+}
+
+// A request class may cross regions only if its latency objective has room for two attempts, one after the
+// other.
+constexpr int kMinRoundTripsInObjective = 4;
+// Fewer attempts within the load window say nothing about a zone's health.
+constexpr double kMinAttemptsInWindow = 5;
+
+zone_failover::ZoneFailoverOptions zone_failover_options(const options::Zones& options) {
+  zone_failover::ZoneFailoverOptions result;
+  result.home_zone = options.home;
+  for (const auto& zone : options.zones)
+    result.zones.push_back({zone.name, zone.region, zone.host_parts_a_second});
+  result.zone_failover.confirmation_time = options.confirm;
+  result.zone_failover.min_dwell = options.dwell;
+  result.zone_failover.max_dwell = 16 * options.dwell;
+  result.zone_failover.step_interval = options.step;
+  result.region_failover = result.zone_failover;
+  result.region_failover.confirmation_time = options.region_confirm;
+  result.region_failover.min_dwell = options.region_dwell;
+  result.region_failover.max_dwell = 16 * options.region_dwell;
+  result.traffic_split.headroom_share = options.headroom;
+  result.traffic_split.min_share_thousandths = options.ground_share;
+  // A state is confirmed by several reports within the confirmation time.
+  result.report_interval = std::max<Time>(options.confirm / 4, kSecond / 20);
+  result.load_window = 2 * result.report_interval;
+  result.health.max_report_age = 3 * result.report_interval;
+  result.health.min_attempts_per_second = kMinAttemptsInWindow / seconds(result.load_window);
+  result.increase_delay = options.dwell;
+  result.local_queue_advantage = options.near_step;
+  result.exploration_share = options.look_around;
+  return result;
+}
+
+const char* name_of(EndpointState state) {
+  return state == EndpointState::kReady ? "ready" : state == EndpointState::kDraining ? "draining" : "gone";
+}
+
+shared_config::Rules read_baseline(const options::Accord& options) {
+  if (options.ground_file.empty()) return {};
+  std::ifstream in(options.ground_file, std::ios::binary);
+  if (!in) throw std::runtime_error(options.ground_file + ": the file with the baseline rules can't be read");
+  return shared_config::parse_rules({std::istreambuf_iterator<char>(in), {}}, options.ground_file);
 }
 
 }  // namespace
@@ -92,79 +107,88 @@
 ClusterNode::ClusterNode(event_base* base, const options::Fleet& o, const settings::Settings& settings,
                          std::uint64_t seed)
     : options_(o),
-      peers_(membership_options(o), o.name, o.advertise, seed),
+      membership_(membership_options(o), o.name, o.advertise, seed),
       transport_(base, o.listen, o.name, transport::read_keys(o.key_file),
-                 [this](const std::string& from, std::string_view body) { heard(from, body); }),
-      wake_(base, [this] { woken(); }) {
-  for (const auto& named : settings::op_types(settings)) op_types_.push_back(named.name);
+                 [this](const std::string& from, std::string_view body) { handle_message(from, body); }),
+      timer_(base, [this] { handle_timer(); }) {
+  for (const auto& named : settings::op_types(settings)) request_classes_.push_back(named.name);
   if (!o.records.empty()) event_log_ = std::make_unique<EventLog>(o.records, o.name);
-  for (const auto& p : o.peers) peers_.add_configured_member(p.name, p.address);
+  for (const auto& p : o.peers) membership_.add_configured_member(p.name, p.address);
   if (o.accord) {
-    shared_config::Rules ground = ground_of(*o.accord);
+    shared_config::Rules baseline = read_baseline(*o.accord);
     if (!o.accord->folder.empty()) {
-      std::string aside;
+      std::string damaged_store;
       std::uint64_t id;
       randombytes_buf(&id, sizeof id);
-      store_ = shared_config::Kept::open(o.accord->folder, id >> 1 | 1, &aside);
-      if (!aside.empty()) {
-        log("accord", "the store was damaged and is set aside as %s; this broker joins anew", aside.c_str());
-        if (event_log_) event_log_->record_event("set_aside").with("as", aside);
+      store_ = shared_config::Kept::open(o.accord->folder, id >> 1 | 1, &damaged_store);
+      if (!damaged_store.empty()) {
+        log("accord", "the store is damaged: renamed to %s; this broker joins again with an empty store",
+            damaged_store.c_str());
+        if (event_log_) event_log_->record_event("set_aside").with("as", damaged_store);
       }
     }
-    accord_ = std::make_unique<shared_config::Accord>(accord_terms(*o.accord), o.name, store_.get(),
-                                                      std::move(ground), seed + 1,
-                                                      std::make_shared<maintenance::JobQueue>());
+    config_node_ = std::make_unique<shared_config::Accord>(shared_config_terms(*o.accord), o.name,
+                                                           store_.get(), std::move(baseline), seed + 1,
+                                                           std::make_shared<maintenance::JobQueue>());
     std::string text;
     std::uint64_t number = 0;
     if (store_ && store_->ground(text, number)) {
-      shared_config::Version kept;
-      kept.number = kept_ground_ = number, kept.text = text, kept.hash = shared_config::hash_of(text);
-      kept.rules =
-          std::make_shared<const shared_config::Rules>(shared_config::parse_rules(text, "kept ground"));
-      accord_->keep_ground(kept);
+      shared_config::Version saved;
+      saved_baseline_ = number;
+      saved.number = number;
+      saved.text = text;
+      saved.hash = shared_config::hash_of(text);
+      saved.rules =
+          std::make_shared<const shared_config::Rules>(shared_config::parse_rules(text, "saved baseline"));
+      config_node_->keep_ground(saved);
     }
-    accord_->applied = [this](const shared_config::Entry& e, const shared_config::Verdict& v) {
+    config_node_->applied = [this](const shared_config::Entry& e, const shared_config::Verdict& v) {
       if (!event_log_) return;
       event_log_->record_event("applied")
           .with("kind", static_cast<std::uint64_t>(e.kind))
           .with("number", v.number)
           .with("id", e.id)
-          .with("index", accord_ && accord_->engine() ? accord_->engine()->applied_index() : 0)
+          .with("index", config_node_ && config_node_->engine() ? config_node_->engine()->applied_index() : 0)
           .with("refused", v.refused);
-      if (works_ && e.kind == shared_config::Entry::Kind::board) works_->applied();
+      if (maintenance_agent_ && e.kind == shared_config::Entry::Kind::board)
+        maintenance_agent_->record_job_changes();
     };
-    applied_ = accord_->acting(now());
+    applied_rules_ = config_node_->acting(now());
   } else {
     auto none = std::make_shared<shared_config::Acting>();
     none->rules = std::make_shared<const shared_config::Rules>();
-    applied_ = std::move(none);
+    applied_rules_ = std::move(none);
   }
-  limits_.resize(op_types_.size());
-  stays_in_region_.resize(op_types_.size());
-  warm_after_ = settings.span("rules.cold", 0), cold_from_ = settings.number("rules.cold-from", 1);
-  cells_ = settings.whole("family-info.positions"), width_ = settings.whole("family-info.width");
-  if (o.zones) begin_zones(*o.zones, settings);
+  limits_.resize(request_classes_.size());
+  stays_in_region_.resize(request_classes_.size());
+  warm_up_time_ = settings.span("rules.cold", 0);
+  cold_start_share_ = settings.number("rules.cold-from", 1);
+  ring_size_ = settings.whole("family-info.positions");
+  replicas_per_shard_ = settings.whole("family-info.width");
+  if (o.zones) set_up_zone_failover(*o.zones, settings);
   if (o.upkeep)
-    works_ = std::make_unique<MaintenanceAgent>(
-        base, options_, settings, *accord_, peers_, zones_.get(), event_log_.get(),
-        [this](const std::string& to, const std::string& bytes) { send_to(to, kWorks + bytes); });
+    maintenance_agent_ = std::make_unique<MaintenanceAgent>(
+        base, options_, settings, *config_node_, membership_, zone_failover_.get(), event_log_.get(),
+        [this](const std::string& to, const std::string& bytes) {
+          send_to(to, kMaintenanceMessage + bytes);
+        });
 }
 
-void ClusterNode::begin_zones(const options::Zones& o, const settings::Settings& settings) {
-  zones_ = std::make_unique<zone_failover::ZoneFailover>(zone_terms(o), options_.name);
+void ClusterNode::set_up_zone_failover(const options::Zones& o, const settings::Settings& settings) {
+  zone_failover_ = std::make_unique<zone_failover::ZoneFailover>(zone_failover_options(o), options_.name);
   const auto ops = settings::op_types(settings);
-  for (const auto& named : ops) needs_.push_back(named.op.required_share);
+  for (const auto& named : ops) required_shares_.push_back(named.op.required_share);
   for (std::size_t i = 0; i < ops.size(); ++i)
     stays_in_region_[i] = std::count(o.stay_in_region.begin(), o.stay_in_region.end(), ops[i].name) > 0 ||
-                          ops[i].op.latency_objective < kRoundTripsInBudget * o.region_round_trip;
-  if (!accord_) alone_ = std::make_unique<shared_config::Versions>();
-  crossing_ = std::make_unique<zone_failover::CrossZoneBudget>(o.crossing_saved, ops.size());
-  crossing_stated_.assign(ops.size(), zone_failover::kNoBudget);
-  for (const auto& [name, most] : o.crossing)
+                          ops[i].op.latency_objective < kMinRoundTripsInObjective * o.region_round_trip;
+  if (!config_node_) standalone_zone_versions_ = std::make_unique<shared_config::Versions>();
+  cross_zone_budget_ = std::make_unique<zone_failover::CrossZoneBudget>(o.crossing_saved, ops.size());
+  configured_byte_budgets_.assign(ops.size(), zone_failover::kNoBudget);
+  for (const auto& [name, bytes_per_second] : o.crossing)
     for (std::size_t i = 0; i < ops.size(); ++i)
-      if (ops[i].name == name) crossing_stated_[i] = static_cast<double>(most);
-  limit_crossing();
-  take_zones();
+      if (ops[i].name == name) configured_byte_budgets_[i] = static_cast<double>(bytes_per_second);
+  update_cross_zone_budgets();
+  update_zone_limits();
 }
 
 ClusterNode::~ClusterNode() = default;
@@ -172,445 +196,497 @@
 void ClusterNode::start() {
   started_at_ = now();
   if (event_log_) event_log_->record_event("starts").with("address", options_.advertise);
-  peers_.start(started_at_);
-  if (accord_) accord_->start(started_at_);
-  pump();
+  membership_.start(started_at_);
+  if (config_node_) config_node_->start(started_at_);
+  process_events();
 }
 
 bool ClusterNode::is_ready() {
-  return !accord_ || accord_->ever_answered() || now() - started_at_ >= options_.accord->start_wait;
+  return !config_node_ || config_node_->ever_answered() || now() - started_at_ >= options_.accord->start_wait;
 }
 
 void ClusterNode::reload_keys() {
   try {
     transport_.rotate_keys(transport::read_keys(options_.key_file));
-    log("fleet", "keys read anew");
+    log("fleet", "key file %s read again", options_.key_file.c_str());
   } catch (const std::exception& e) {
-    log("fleet", "the old keys stay: %s", e.what());
+    log("fleet", "key file not applied, the old keys stay in use: %s", e.what());
   }
 }
 
 void ClusterNode::leave() {
-  if (left_) return;
-  left_ = true;
-  if (accord_) accord_->leave(now());
+  if (has_left_) return;
+  has_left_ = true;
+  if (config_node_) config_node_->leave(now());
   if (event_log_) event_log_->record_event("leaves").with("low", std::uint64_t{0});
-  pump();
+  process_events();
 }
 
-// Danger: a machine is handed over for work once its brokers are gone; one that said so as it began to finish
-// what it has in hand would lose that with the machine.
+// A machine is handed over for maintenance once its brokers have left the membership. A broker that left
+// before it had finished its requests in flight would lose them with the machine.
 void ClusterNode::announce_departure() {
   if (event_log_) event_log_->record_event("gone");
-  peers_.leave();
-  pump();
+  membership_.leave();
+  process_events();
 }
 
-void ClusterNode::heard(const std::string& from, std::string_view body) {
-  if (body.empty() || (left_ && body.front() != kPeers)) return;
+void ClusterNode::handle_message(const std::string& from, std::string_view body) {
+  if (body.empty() || (has_left_ && body.front() != kMembershipMessage)) return;
   const char kind = body.front();
   body.remove_prefix(1);
-  if (kind == kPeers) {
-    const auto m = membership::decode(body);
-    if (!m) return;
-    peers_.receive(now(), from, *m);
-    if (!m->payload.empty()) heard_lists(from, m->payload);
-  } else if (kind == kAccord && accord_) {
-    accord::wire::Packet p;
-    if (p.ParseFromArray(body.data(), static_cast<int>(body.size()))) accord_->received(now(), from, p);
-  } else if (kind == kWorks && works_) {
-    works_->heard(now(), program_, from, body);
-  } else if (kind == kZones && zones_) {
-    if (auto r = zone_failover::decode(body)) zones_->add_report(now(), from, std::move(*r));
+  if (kind == kMembershipMessage) {
+    const auto message = membership::decode(body);
+    if (!message) return;
+    membership_.receive(now(), from, *message);
+    if (!message->payload.empty()) handle_notices(from, message->payload);
+  } else if (kind == kSharedConfigMessage && config_node_) {
+    accord::wire::Packet packet;
+    if (packet.ParseFromArray(body.data(), static_cast<int>(body.size())))
+      config_node_->received(now(), from, packet);
+  } else if (kind == kMaintenanceMessage && maintenance_agent_) {
+    maintenance_agent_->handle_message(now(), hooks_, from, body);
+  } else if (kind == kZoneReportMessage && zone_failover_) {
+    if (auto report = zone_failover::decode(body))
+      zone_failover_->add_report(now(), from, std::move(*report));
   }
-  pump();
+  process_events();
 }
 
-std::string ClusterNode::lists_digest() const {
-  accord::wire::Lists l;
-  l.set_newest(hearsay_.newest());
-  l.set_digest(hearsay_.digest());
-  return l.SerializeAsString();
+std::string ClusterNode::notices_digest() const {
+  accord::wire::Lists lists;
+  lists.set_newest(gossip_.newest());
+  lists.set_digest(gossip_.digest());
+  return lists.SerializeAsString();
 }
 
-void ClusterNode::heard_lists(const std::string& from, const std::string& cargo) {
+void ClusterNode::handle_notices(const std::string& from, const std::string& payload) {
   if (!options_.share_lists) return;
-  accord::wire::Lists l;
-  if (!l.ParseFromString(cargo)) return;
-  hearsay_.heard_of(l.newest());
-  for (const auto& n : l.notice()) {
-    if (n.node().empty() || n.node().size() > 128) continue;
-    const shared_config::Notice notice{n.node(), n.started(), n.gone(), n.revision()};
-    if (!hearsay_.heard(notice)) continue;
-    ++hearsay_now_;
+  accord::wire::Lists lists;
+  if (!lists.ParseFromString(payload)) return;
+  gossip_.heard_of(lists.newest());
+  for (const auto& wire_notice : lists.notice()) {
+    if (wire_notice.node().empty() || wire_notice.node().size() > 128) continue;
+    const shared_config::Notice notice{wire_notice.node(), wire_notice.started(), wire_notice.gone(),
+                                       wire_notice.revision()};
+    if (!gossip_.heard(notice)) continue;
+    ++gossip_changes_;
     if (!event_log_) continue;
-    told_.insert(notice.node);
+    recorded_unavailable_.insert(notice.node);
     event_log_->record_event("heard")
         .with("node", notice.node)
         .with("state", notice.gone ? "gone" : "draining")
         .with("revision", notice.revision)
         .with("from", from);
   }
-  if (l.ask()) tell_lists(hearsay_.all(), from);
-  // Another holds notices that differ: ask for all of them, now and then.
-  if (!l.ask() && l.has_digest() && l.digest() != hearsay_.digest() &&
-      now() - asked_lists_at_ >= kAskListsEvery) {
-    asked_lists_at_ = now();
+  if (lists.ask()) send_notices(gossip_.all(), from);
+  // The sender holds different notices: request all of them, at most once per interval.
+  if (!lists.ask() && lists.has_digest() && lists.digest() != gossip_.digest() &&
+      now() - notices_requested_at_ >= kNoticeRequestInterval) {
+    notices_requested_at_ = now();
     accord::wire::Lists ask;
-    ask.set_newest(hearsay_.newest());
+    ask.set_newest(gossip_.newest());
     ask.set_ask(true);
-    peers_.send_payload(from, ask.SerializeAsString());
+    membership_.send_payload(from, ask.SerializeAsString());
   }
 }
 
-// `to` empty: a few, at random.
-void ClusterNode::tell_lists(const std::vector<shared_config::Notice>& notices, const std::string& to) {
-  for (std::size_t at = 0; at < notices.size(); at += kNoticesAMessage) {
-    accord::wire::Lists l;
-    l.set_newest(hearsay_.newest());
-    for (std::size_t i = at; i < std::min(at + kNoticesAMessage, notices.size()); ++i) {
-      auto* n = l.add_notice();
-      n->set_node(notices[i].node), n->set_started(notices[i].started);
-      n->set_gone(notices[i].gone), n->set_revision(notices[i].revision);
+// Sends to the broker `to`, or to a few random ones if `to` is empty.
+void ClusterNode::send_notices(const std::vector<shared_config::Notice>& notices, const std::string& to) {
+  for (std::size_t first = 0; first < notices.size(); first += kMaxNoticesPerMessage) {
+    accord::wire::Lists lists;
+    lists.set_newest(gossip_.newest());
+    for (std::size_t i = first; i < std::min(first + kMaxNoticesPerMessage, notices.size()); ++i) {
+      auto* notice = lists.add_notice();
+      notice->set_node(notices[i].node);
+      notice->set_started(notices[i].started);
+      notice->set_gone(notices[i].gone);
+      notice->set_revision(notices[i].revision);
     }
     if (to.empty())
-      peers_.send_payload_to_random_members(kTellOn, l.SerializeAsString());
+      membership_.send_payload_to_random_members(kNoticeFanout, lists.SerializeAsString());
     else
-      peers_.send_payload(to, l.SerializeAsString());
+      membership_.send_payload(to, lists.SerializeAsString());
   }
 }
 
 void ClusterNode::send_to(const std::string& to, const std::string& bytes) {
-  if (const auto* member = peers_.members().find(to)) transport_.send(to, member->address(), bytes);
+  if (const auto* member = membership_.members().find(to)) transport_.send(to, member->address(), bytes);
 }
 
-// Sends what the packages have to say, and follows what changed, until nothing is left.
-void ClusterNode::pump(bool may_turn) {
-  if (pumping_) return;
-  pumping_ = true;
+// Sends the pending output of all parts, handles their state changes, and sets the timer for the next one
+// due.
+void ClusterNode::process_events(bool may_call_hooks) {
+  if (is_processing_) return;
+  is_processing_ = true;
   const Time at = now();
-  if (options_.share_lists && !in_list_)
-    if (const auto news = hearsay_.news(); !news.empty()) tell_lists(news, "");
-  while (auto m = peers_.take_outgoing()) {
-    if (m->message.payload.empty() && options_.share_lists) m->message.payload = lists_digest();
-    transport_.send(m->to, m->address, kPeers + membership::encode(m->message));
+  if (options_.share_lists && !is_list_open_) {
+    if (const auto notices = gossip_.news(); !notices.empty()) send_notices(notices, "");
+  }
+  while (auto outgoing = membership_.take_outgoing()) {
+    if (outgoing->message.payload.empty() && options_.share_lists)
+      outgoing->message.payload = notices_digest();
+    transport_.send(outgoing->to, outgoing->address,
+                    kMembershipMessage + membership::encode(outgoing->message));
   }
-  while (auto c = peers_.take_state_change()) {
-    log("peers", "%s is %s", c->name.c_str(), membership::name_of(c->to));
+  while (auto change = membership_.take_state_change()) {
+    log("peers", "%s is %s", change->name.c_str(), membership::name_of(change->to));
     if (event_log_)
       event_log_->record_event("peer")
-          .with("name", c->name)
-          .with("from", membership::name_of(c->from))
-          .with("to", membership::name_of(c->to));
-    if (zones_ && !membership::is_live(c->to)) zones_->remove_broker(c->name);
-    if (works_ && !membership::is_live(c->to)) works_->gone(c->name);
-    if (accord_) accord_->peer(at, c->name, membership::is_live(c->to));
+          .with("name", change->name)
+          .with("from", membership::name_of(change->from))
+          .with("to", membership::name_of(change->to));
+    if (zone_failover_ && !membership::is_live(change->to)) zone_failover_->remove_broker(change->name);
+    if (maintenance_agent_ && !membership::is_live(change->to))
+      maintenance_agent_->forget_broker(change->name);
+    if (config_node_) config_node_->peer(at, change->name, membership::is_live(change->to));
   }
-  while (auto name = peers_.take_forgotten_member()) transport_.forget_peer(*name);
-  if (accord_) {
-    if (zones_) turn_zones();
-    if (works_) works_->turn(at, program_, *applied_, listed_, hearsay_.own());
+  while (auto name = membership_.take_forgotten_member()) transport_.forget_peer(*name);
+  if (config_node_) {
+    if (zone_failover_) update_shared_zones();
+    if (maintenance_agent_)
+      maintenance_agent_->run_check(at, hooks_, *applied_rules_, listed_endpoints_, gossip_.own());
     save_baseline();
-    note_lease();  // before others are told of it: what they do on that must not stand earlier in the events
-    while (auto o = accord_->send()) send_to(o->to, kAccord + o->bytes);
-  } else if (zones_) {
-    turn_alone();
+    // Before the other brokers learn of the lease, so that the event log has no consequence before its cause.
+    record_lease();
+    while (auto outgoing = config_node_->send())
+      send_to(outgoing->to, kSharedConfigMessage + outgoing->bytes);
+  } else if (zone_failover_) {
+    update_standalone_zones();
   }
-  // Danger: the agent's answer may be what is being read; to ask anew would free its connection under it.
-  if (may_turn) look_behind();
-  Time next = peers_.next_timer();
-  if (accord_) {
-    next = std::min(next, accord_->wake());
-    if (accord_->holder().until() > at) next = std::min(next, accord_->holder().until());
+  // May be called while the agent's response is being read; a new request to the agent would then free the
+  // connection that is still in use.
+  if (may_call_hooks) check_list_lag();
+  Time next = membership_.next_timer();
+  if (config_node_) {
+    next = std::min(next, config_node_->wake());
+    if (config_node_->holder().until() > at) next = std::min(next, config_node_->holder().until());
   }
-  if (zones_) next = std::min(next, std::max(zones_->next_report_at(), at + 1));
-  if (works_) next = std::min(next, std::max(works_->wake(), at + 1));
+  if (zone_failover_) next = std::min(next, std::max(zone_failover_->next_report_at(), at + 1));
+  if (maintenance_agent_) next = std::min(next, std::max(maintenance_agent_->next_check_at(), at + 1));
   if (behind_since_ != kNever)
-    next = std::min(next, std::max(behind_since_ + kBehindFor, asked_agent_at_ + kAskAgentEvery));
-  if (next != kNever) wake_.start(std::max<Time>(0, next - now()));
-  const bool news = !in_list_ && program_.changed &&
-                    (hearsay_seen_ != hearsay_now_ || (accord_ && accord_->acting(now()) != applied_));
-  pumping_ = false;
-  if (news && may_turn) program_.changed();
+    next = std::min(next, std::max(behind_since_ + kMaxListLag, list_requested_at_ + kListRequestInterval));
+  if (next != kNever) timer_.start(std::max<Time>(0, next - now()));
+  const bool has_changes = !is_list_open_ && hooks_.rules_changed &&
+                           (gossip_changes_seen_ != gossip_changes_ ||
+                            (config_node_ && config_node_->acting(now()) != applied_rules_));
+  is_processing_ = false;
+  if (has_changes && may_call_hooks) hooks_.rules_changed();
 }
 
-void ClusterNode::woken() {
+void ClusterNode::handle_timer() {
   const Time at = now();
-  peers_.handle_timers(at);
-  if (accord_) accord_->woken(at);
-  pump();
+  membership_.handle_timers(at);
+  if (config_node_) config_node_->woken(at);
+  process_events();
 }
 
-// Before anything is said to others. Danger: a broker that has told the leader that it keeps to the next
-// ground, and starts anew from a folder that holds the last one alone, would act on more than the versions
-// allow that were made since. What it keeps to while the next one waits, the meet of both, goes by the older
-// one's number: it then asks for both again.
+// Saves the baseline rules before any message goes out. Otherwise a broker that has confirmed the next
+// baseline to the leader and restarts from a store that holds only the previous one would act on more than
+// the versions made since then allow. While the next baseline is pending, the rules saved are those that both
+// baselines allow, under the number of the older one; after a restart the broker requests both again.
 void ClusterNode::save_baseline() {
-  const auto& holder = accord_->holder();
-  const auto& ground = holder.ground();
+  const auto& holder = config_node_->holder();
+  const auto& baseline = holder.ground();
   const std::uint64_t next = holder.ground_next() ? holder.ground_next()->number : 0;
-  if (ground.number == kept_ground_ && next == kept_next_) return;
-  const bool newer = ground.number > kept_ground_ && !next;
-  kept_ground_ = std::max(kept_ground_, ground.number), kept_next_ = next;
-  if (store_) store_->keep_ground(shared_config::text_of(holder.grounded()), ground.number);
-  if (newer && event_log_) event_log_->record_event("keeps").with("ground", ground.number);
+  if (baseline.number == saved_baseline_ && next == saved_next_baseline_) return;
+  const bool is_newer = baseline.number > saved_baseline_ && !next;
+  saved_baseline_ = std::max(saved_baseline_, baseline.number);
+  saved_next_baseline_ = next;
+  if (store_) store_->keep_ground(shared_config::text_of(holder.grounded()), baseline.number);
+  if (is_newer && event_log_) event_log_->record_event("keeps").with("ground", baseline.number);
 }
 
-// For the auditor: from when until when this broker may act on what.
-void ClusterNode::note_lease() {
+// Records which versions this broker may act on and until when, for the audit of the event logs.
+void ClusterNode::record_lease() {
   if (!event_log_) return;
-  const Time at = now(), until = accord_->holder().until();
-  const auto& acting = accord_->acting(at);
+  const Time at = now();
+  const Time until = config_node_->holder().until();
+  const auto& acting = config_node_->acting(at);
   if (acting->low == 0) {
-    if (noted_low_ != 0) event_log_->record_event("ground").with("ground", acting->ground);
-    noted_low_ = noted_high_ = 0;
+    if (recorded_lease_low_ != 0) event_log_->record_event("ground").with("ground", acting->ground);
+    recorded_lease_low_ = 0;
+    recorded_lease_high_ = 0;
     return;
   }
-  if (until == noted_until_ && acting->low == noted_low_ && acting->high == noted_high_) return;
-  noted_until_ = until, noted_low_ = acting->low, noted_high_ = acting->high;
+  if (until == recorded_lease_until_ && acting->low == recorded_lease_low_ &&
+      acting->high == recorded_lease_high_)
+    return;
+  recorded_lease_until_ = until;
+  recorded_lease_low_ = acting->low;
+  recorded_lease_high_ = acting->high;
   event_log_->record_event("lease")
       .with("low", acting->low)
       .with("high", acting->high)
       .with("until", static_cast<std::uint64_t>(until - clock_offset()));
 }
 
-std::optional<zone_failover::ZoneReport> ClusterNode::look_at_zones(Time at) {
-  if (at < zones_->next_report_at()) return std::nullopt;
-  count_hosts();
-  return zones_->make_due_report(at);
+std::optional<zone_failover::ZoneReport> ClusterNode::make_due_zone_report(Time at) {
+  if (at < zone_failover_->next_report_at()) return std::nullopt;
+  count_endpoints();
+  return zone_failover_->make_due_report(at);
 }
 
-// Without an accord: from its own evidence, for itself, in force at once.
-void ClusterNode::turn_alone() {
+// Without a shared configuration: decides on zones from this broker's own reports, for itself alone, and
+// applies the decision at once.
+void ClusterNode::update_standalone_zones() {
   const Time at = now();
-  if (!look_at_zones(at)) return;
-  auto e = zones_->propose_change(at, *alone_);
-  if (!e) return;
-  log("zones", "%s", e->why.c_str());
+  if (!make_due_zone_report(at)) return;
+  auto entry = zone_failover_->propose_change(at, *standalone_zone_versions_);
+  if (!entry) return;
+  log("zones", "%s", entry->why.c_str());
   if (event_log_)
-    event_log_->record_event("zones").with("why", e->why).with("note", e->note).with("id", e->id);
-  const bool ground = e->kind == shared_config::Entry::Kind::propose_ground;
-  e->number = alone_->apply(*e).number;
-  e->kind = ground ? shared_config::Entry::Kind::force_ground : shared_config::Entry::Kind::force;
-  alone_->apply(*e);
-  const shared_config::Version& newest = alone_->all().rbegin()->second;
+    event_log_->record_event("zones").with("why", entry->why).with("note", entry->note).with("id", entry->id);
+  const bool is_baseline = entry->kind == shared_config::Entry::Kind::propose_ground;
+  entry->number = standalone_zone_versions_->apply(*entry).number;
+  entry->kind = is_baseline ? shared_config::Entry::Kind::force_ground : shared_config::Entry::Kind::force;
+  standalone_zone_versions_->apply(*entry);
+  const shared_config::Version& newest = standalone_zone_versions_->all().rbegin()->second;
   auto acting = std::make_shared<shared_config::Acting>();
-  acting->rules = newest.rules, acting->low = acting->high = newest.number;
-  applied_ = std::move(acting);
-  take_zones();
+  acting->rules = newest.rules;
+  acting->low = newest.number;
+  acting->high = newest.number;
+  applied_rules_ = std::move(acting);
+  update_zone_limits();
 }
 
-// Tells the voters what was seen of zones, and where this broker leads, proposes what follows from it all.
-void ClusterNode::turn_zones() {
+// Sends this broker's zone report to the voters and, at the leader, proposes the change that follows from all
+// reports.
+void ClusterNode::update_shared_zones() {
   const Time at = now();
-  const auto report = look_at_zones(at);
+  const auto report = make_due_zone_report(at);
   if (!report) return;
   std::set<std::string> to(options_.accord->voters.begin(), options_.accord->voters.end());
-  if (const auto& leader = accord_->leader(); !leader.empty())
-    to.insert(leader);  // it may have come to vote later
+  if (const auto& leader = config_node_->leader(); !leader.empty())
+    to.insert(leader);  // it may have become a voter later, and so not be in the options
   to.erase(options_.name);
-  const std::string bytes = kZones + zone_failover::encode(*report);
+  const std::string bytes = kZoneReportMessage + zone_failover::encode(*report);
   for (const auto& name : to) send_to(name, bytes);
-  const auto* engine = accord_->engine();
-  if (!engine || !engine->leads()) return zones_->stop_leading();
-  if (auto e = zones_->propose_change(at, engine->versions())) {
-    log("zones", "%s", e->why.c_str());
+  const auto* engine = config_node_->engine();
+  if (!engine || !engine->leads()) return zone_failover_->stop_leading();
+  if (auto entry = zone_failover_->propose_change(at, engine->versions())) {
+    log("zones", "%s", entry->why.c_str());
     if (event_log_)
-      event_log_->record_event("zones").with("why", e->why).with("note", e->note).with("id", e->id);
-    accord_->propose(at, std::move(*e), [](const auto&) {});
+      event_log_->record_event("zones")
+          .with("why", entry->why)
+          .with("note", entry->note)
+          .with("id", entry->id);
+    config_node_->propose(at, std::move(*entry), [](const auto&) {});
   }
 }
 
-// What is acted on of zones: the rules, and the note of the newest version that a lease is held on.
-void ClusterNode::take_zones() {
+// Computes the zone limits from the rules in effect and the note of the newest version that the lease covers.
+void ClusterNode::update_zone_limits() {
   const shared_config::Version* newest = nullptr;
-  if (alone_) {
-    newest = &alone_->all().rbegin()->second;
-  } else if (applied_->high) {
-    const auto& held = accord_->holder().versions();
-    const auto it = held.find(applied_->high);
-    if (it != held.end()) newest = &it->second;
+  if (standalone_zone_versions_) {
+    newest = &standalone_zone_versions_->all().rbegin()->second;
+  } else if (applied_rules_->high) {
+    const auto& versions = config_node_->holder().versions();
+    const auto it = versions.find(applied_rules_->high);
+    if (it != versions.end()) newest = &it->second;
   }
-  zone_limits_ = zones_->zone_limits(*applied_->rules, newest ? &newest->note : nullptr);
-  shares_new_ = true;
+  zone_limits_ = zone_failover_->zone_limits(*applied_rules_->rules, newest ? &newest->note : nullptr);
+  zone_limits_changed_ = true;
   if (!event_log_) return;
   std::string text;
   for (std::size_t z = 0; z < zone_limits_.size(); ++z)
-    text += (z ? " " : "") + zones_->zone_name(static_cast<int>(z)) + "=" +
+    text += (z ? " " : "") + zone_failover_->zone_name(static_cast<int>(z)) + "=" +
             std::to_string(static_cast<int>(1000 * zone_limits_[z].max_share + 0.5));
   event_log_->record_event("zone_limits")
-      .with("high", applied_->high)
+      .with("high", applied_rules_->high)
       .with("shares", text)
       .with("note", newest ? newest->note : "");
 }
 
-// Hosts in service by zone, and what they are worth: a cold one its present share.
-void ClusterNode::count_hosts() {
+// Counts the endpoints in service by zone, and how many warm endpoints they are worth: an endpoint that warms
+// up counts for its present share.
+void ClusterNode::count_endpoints() {
   const Time at = now();
   std::map<std::string, std::pair<int, double>> by_zone;
-  std::vector<bool> near(static_cast<std::size_t>(cells_), false);
-  for (const auto& [name, s] : listed_) {
-    if (!s.ready) continue;
-    if (s.zone == zones_->options().home_zone && s.cell < cells_ && !is_withheld(name, s.started))
-      near[static_cast<std::size_t>(s.cell)] = true;
-    auto& [hosts, worth] = by_zone[s.zone];
-    const Time age = at - s.started;
-    ++hosts;
-    worth += s.started == 0 || warm_after_ <= 0 || age >= warm_after_
-                 ? 1
-                 : cold_from_ + (1 - cold_from_) * std::max(0.0, seconds(age) / seconds(warm_after_));
+  std::vector<bool> in_home_zone(static_cast<std::size_t>(ring_size_), false);
+  for (const auto& [name, endpoint] : listed_endpoints_) {
+    if (!endpoint.is_ready) continue;
+    if (endpoint.zone == zone_failover_->options().home_zone && endpoint.ring_position < ring_size_ &&
+        !is_withheld(name, endpoint.started_at))
+      in_home_zone[static_cast<std::size_t>(endpoint.ring_position)] = true;
+    auto& [endpoints, warm_equivalent] = by_zone[endpoint.zone];
+    const Time age = at - endpoint.started_at;
+    ++endpoints;
+    warm_equivalent += endpoint.started_at == 0 || warm_up_time_ <= 0 || age >= warm_up_time_
+                           ? 1
+                           : cold_start_share_ + (1 - cold_start_share_) *
+                                                     std::max(0.0, seconds(age) / seconds(warm_up_time_));
   }
-  zones_->set_endpoints(by_zone);
-  // Shard s is held by the nodes in cells s to s + width - 1.
-  far_shards_.assign(near.size(), true);
-  for (int s = 0; s < cells_; ++s)
-    for (int j = 0; j < width_; ++j)
-      if (near[static_cast<std::size_t>((s + j) % cells_)]) far_shards_[static_cast<std::size_t>(s)] = false;
+  zone_failover_->set_endpoints(by_zone);
+  // The replicas of shard s are at ring positions s to s + replicas_per_shard_ - 1.
+  is_remote_only_.assign(in_home_zone.size(), true);
+  for (int shard = 0; shard < ring_size_; ++shard)
+    for (int replica = 0; replica < replicas_per_shard_; ++replica)
+      if (in_home_zone[static_cast<std::size_t>((shard + replica) % ring_size_)])
+        is_remote_only_[static_cast<std::size_t>(shard)] = false;
 }
 
-bool ClusterNode::stays_in_region(int op_type) const {
-  return stays_in_region_.at(static_cast<std::size_t>(op_type));
+bool ClusterNode::stays_in_region(int request_class) const {
+  return stays_in_region_.at(static_cast<std::size_t>(request_class));
 }
 
-// A node of no known zone is not known to be elsewhere.
-int ClusterNode::counted_zone(int zone) const {
+// An endpoint without a known zone is accounted to the home zone: nothing says that it is elsewhere.
+int ClusterNode::accounted_zone(int zone) const {
   return zone < static_cast<int>(zone_limits_.size()) ? zone : 0;
 }
 
-bool ClusterNode::record_attempt(int zone, int op_type) {
-  return crossing_ && crossing_->start_attempt(now(), counted_zone(zone), op_type);
+bool ClusterNode::record_attempt(int zone, int request_class) {
+  return cross_zone_budget_ && cross_zone_budget_->start_attempt(now(), accounted_zone(zone), request_class);
 }
 
-void ClusterNode::record_attempt_end(const dispatch::TrafficAccount& whose, EndpointId node,
-                                     AttemptOutcome how, Time latency) {
-  if (!zones_) return;
-  zones_->record_attempt_result(now(), zones_->zone_name(whose.zone), node, how, latency);
-  crossing_->finish_attempt(counted_zone(whose.zone), whose.request_class, whose.is_over_budget);
+void ClusterNode::record_attempt_end(const dispatch::TrafficAccount& account, EndpointId endpoint,
+                                     AttemptOutcome outcome, Time latency) {
+  if (!zone_failover_) return;
+  zone_failover_->record_attempt_result(now(), zone_failover_->zone_name(account.zone), endpoint, outcome,
+                                        latency);
+  cross_zone_budget_->finish_attempt(accounted_zone(account.zone), account.request_class,
+                                     account.is_over_budget);
 }
 
-void ClusterNode::record_bytes(const dispatch::TransferredBytes& what) {
-  if (crossing_)
-    crossing_->record_bytes(now(), counted_zone(what.account.zone), what.account.request_class,
-                            what.account.is_over_budget, what.sent, what.received);
+void ClusterNode::record_bytes(const dispatch::TransferredBytes& bytes) {
+  if (cross_zone_budget_)
+    cross_zone_budget_->record_bytes(now(), accounted_zone(bytes.account.zone), bytes.account.request_class,
+                                     bytes.account.is_over_budget, bytes.sent, bytes.received);
 }
 
-bool ClusterNode::stays_in_zone(int op_type) { return crossing_->is_exhausted(now(), op_type); }
+bool ClusterNode::stays_in_zone(int request_class) {
+  return cross_zone_budget_->is_exhausted(now(), request_class);
+}
 
-// As the options state and as the rules allow, whichever is less.
-void ClusterNode::limit_crossing() {
-  for (std::size_t i = 0; i < op_types_.size(); ++i) {
-    const std::int64_t most = applied_->rules->of(op_types_[i]).crossing_most;
-    crossing_->set_limit(now(), static_cast<int>(i),
-                         std::min(crossing_stated_[i],
-                                  most == INT64_MAX ? zone_failover::kNoBudget : static_cast<double>(most)));
+// Sets each class's budget to the lower of the configured one and the one that the rules allow.
+void ClusterNode::update_cross_zone_budgets() {
+  for (std::size_t i = 0; i < request_classes_.size(); ++i) {
+    const std::int64_t limit = applied_rules_->rules->of(request_classes_[i]).crossing_most;
+    cross_zone_budget_->set_limit(
+        now(), static_cast<int>(i),
+        std::min(configured_byte_budgets_[i],
+                 limit == INT64_MAX ? zone_failover::kNoBudget : static_cast<double>(limit)));
   }
 }
 
-void ClusterNode::record_request(int op_type, const dispatch::Request& query) {
-  if (!zones_) return;
-  std::size_t far = 0;
-  for (const auto& p : query.shard_requests)
-    far += static_cast<std::size_t>(p->shard) < far_shards_.size() &&
-           far_shards_[static_cast<std::size_t>(p->shard)];
-  const double need = needs_.at(static_cast<std::size_t>(op_type));
-  zones_->record_demand(now(), need * static_cast<double>(query.shard_requests.size()),
-                        need * static_cast<double>(far));
+void ClusterNode::record_request(int request_class, const dispatch::Request& request) {
+  if (!zone_failover_) return;
+  std::size_t remote_only = 0;
+  for (const auto& p : request.shard_requests)
+    remote_only += static_cast<std::size_t>(p->shard) < is_remote_only_.size() &&
+                   is_remote_only_[static_cast<std::size_t>(p->shard)];
+  const double required_share = required_shares_.at(static_cast<std::size_t>(request_class));
+  zone_failover_->record_demand(now(), required_share * static_cast<double>(request.shard_requests.size()),
+                                required_share * static_cast<double>(remote_only));
 }
 
-void ClusterNode::look_behind() {
+void ClusterNode::check_list_lag() {
   const Time at = now();
-  if (!hearsay_.behind() || hearsay_.own() == 0) {
+  if (!gossip_.behind() || gossip_.own() == 0) {
     behind_since_ = kNever;
     return;
   }
   if (behind_since_ == kNever) behind_since_ = at;
-  if (at - behind_since_ < kBehindFor || at - asked_agent_at_ < kAskAgentEvery || !program_.ask_agent) return;
-  asked_agent_at_ = at;
-  log("fleet", "the list in hand, revision %llu, is behind %llu that others hold: the agent is asked anew",
-      static_cast<unsigned long long>(hearsay_.own()), static_cast<unsigned long long>(hearsay_.newest()));
+  if (at - behind_since_ < kMaxListLag || at - list_requested_at_ < kListRequestInterval ||
+      !hooks_.request_list)
+    return;
+  list_requested_at_ = at;
+  log("fleet",
+      "endpoint list has revision %llu, other brokers have %llu: requesting the list from the agent again",
+      static_cast<unsigned long long>(gossip_.own()), static_cast<unsigned long long>(gossip_.newest()));
   if (event_log_)
-    event_log_->record_event("behind").with("own", hearsay_.own()).with("newest", hearsay_.newest());
-  program_.ask_agent();
+    event_log_->record_event("behind").with("own", gossip_.own()).with("newest", gossip_.newest());
+  hooks_.request_list();
 }
 
 bool ClusterNode::refresh_rules() {
-  const bool heard = hearsay_seen_ != hearsay_now_;
-  hearsay_seen_ = hearsay_now_;
-  if (!accord_) return std::exchange(shares_new_, false) || heard;
-  const auto& acting = accord_->acting(now());
-  if (acting == applied_) return heard;
-  applied_ = acting;
-  for (std::size_t i = 0; i < op_types_.size(); ++i) {
-    const auto& r = applied_->rules->of(op_types_[i]);
+  const bool gossip_changed = gossip_changes_seen_ != gossip_changes_;
+  gossip_changes_seen_ = gossip_changes_;
+  if (!config_node_) return std::exchange(zone_limits_changed_, false) || gossip_changed;
+  const auto& acting = config_node_->acting(now());
+  if (acting == applied_rules_) return gossip_changed;
+  applied_rules_ = acting;
+  for (std::size_t i = 0; i < request_classes_.size(); ++i) {
+    const auto& r = applied_rules_->rules->of(request_classes_[i]);
     limits_[i] = {r.served, r.time_most, r.held_most, r.budget_most, r.least_share};
   }
-  if (zones_) limit_crossing(), take_zones();
+  if (zone_failover_) {
+    update_cross_zone_budgets();
+    update_zone_limits();
+  }
   if (event_log_)
     event_log_->record_event("acts")
-        .with("low", applied_->low)
-        .with("high", applied_->high)
-        .with("ground", applied_->ground)
-        .with("hash", shared_config::hash_of(shared_config::text_of(*applied_->rules)));
+        .with("low", applied_rules_->low)
+        .with("high", applied_rules_->high)
+        .with("ground", applied_rules_->ground)
+        .with("hash", shared_config::hash_of(shared_config::text_of(*applied_rules_->rules)));
   return true;
 }
 
-const dispatch::RequestClassLimits& ClusterNode::limits(int op_type) const {
-  return limits_.at(static_cast<std::size_t>(op_type));
+const dispatch::RequestClassLimits& ClusterNode::limits(int request_class) const {
+  return limits_.at(static_cast<std::size_t>(request_class));
 }
-bool ClusterNode::may_run_two_phase(int op_type) const {
-  return applied_->rules->two_phase_off.count(op_types_.at(static_cast<std::size_t>(op_type))) == 0;
+bool ClusterNode::may_run_two_phase(int request_class) const {
+  return applied_rules_->rules->two_phase_off.count(
+             request_classes_.at(static_cast<std::size_t>(request_class))) == 0;
 }
 bool ClusterNode::serves_index(const std::string& name) const {
-  return applied_->rules->index_off.count(name) == 0;
+  return applied_rules_->rules->index_off.count(name) == 0;
 }
 
-bool ClusterNode::is_withheld(const std::string& node, Time started) const {
-  return (options_.share_lists && hearsay_.withheld(node, started)) ||
-         applied_->rules->withheld.count(node) != 0 || applied_->rules->at_work.count(node) != 0;
+bool ClusterNode::is_withheld(const std::string& endpoint, Time started_at) const {
+  return (options_.share_lists && gossip_.withheld(endpoint, started_at)) ||
+         applied_rules_->rules->withheld.count(endpoint) != 0 ||
+         applied_rules_->rules->at_work.count(endpoint) != 0;
 }
 
-void ClusterNode::list_begins(std::uint64_t revision, bool whole) {
-  in_list_ = true;
-  if (event_log_) event_log_->record_event("list").with("revision", revision).with("whole", whole);
-  hearsay_.begins(revision, whole);
-  ++lists_, list_whole_ = whole;
+void ClusterNode::list_begins(std::uint64_t revision, bool is_complete) {
+  is_list_open_ = true;
+  if (event_log_) event_log_->record_event("list").with("revision", revision).with("whole", is_complete);
+  gossip_.begins(revision, is_complete);
+  ++list_number_;
+  is_list_complete_ = is_complete;
 }
-void ClusterNode::list_endpoint(const std::string& node, Time started, EndpointState state,
-                                const std::string& locality, int cell) {
+void ClusterNode::list_endpoint(const std::string& endpoint, Time started_at, EndpointState state,
+                                const std::string& locality, int ring_position) {
   if (state == EndpointState::kRemoved)
-    listed_.erase(node);
-  else if (zones_ || works_)
-    listed_[node] = {zones_ ? zones_->zone_name(zones_->zone_number(locality)) : locality, cell, started,
-                     state == EndpointState::kReady, lists_};
-  hearsay_.node(node, started, state == EndpointState::kReady, state == EndpointState::kRemoved);
+    listed_endpoints_.erase(endpoint);
+  else if (zone_failover_ || maintenance_agent_)
+    listed_endpoints_[endpoint] = {
+        zone_failover_ ? zone_failover_->zone_name(zone_failover_->zone_number(locality)) : locality,
+        ring_position, started_at, state == EndpointState::kReady, list_number_};
+  gossip_.node(endpoint, started_at, state == EndpointState::kReady, state == EndpointState::kRemoved);
   if (!event_log_) return;
   if (state != EndpointState::kReady) {
-    event_log_->record_event("told").with("node", node).with("state", name_of(state));
-    told_.insert(node);
-  } else if (!hearsay_.withheld(node, started) && told_.erase(node)) {
-    event_log_->record_event("ready").with("node", node);
+    event_log_->record_event("told").with("node", endpoint).with("state", name_of(state));
+    recorded_unavailable_.insert(endpoint);
+  } else if (!gossip_.withheld(endpoint, started_at) && recorded_unavailable_.erase(endpoint)) {
+    event_log_->record_event("ready").with("node", endpoint);
   }
 }
 void ClusterNode::list_ends() {
-  for (const auto& node : hearsay_.ends())
-    if (event_log_)
-      event_log_->record_event("told").with("node", node).with("state", "gone"), told_.insert(node);
-  if (list_whole_) std::erase_if(listed_, [&](const auto& s) { return s.second.named_in != lists_; });
-  in_list_ = false;
-  // Danger: a turn now would act on the list in hand, of which hearsay no longer withholds anything, before
-  // the new one has reached the policy. Whoever takes the list follows what changed, and turns, once it is
-  // in.
-  pump(false);
+  for (const auto& endpoint : gossip_.ends()) {
+    if (event_log_) {
+      event_log_->record_event("told").with("node", endpoint).with("state", "gone");
+      recorded_unavailable_.insert(endpoint);
+    }
+  }
+  if (is_list_complete_)
+    std::erase_if(listed_endpoints_, [&](const auto& s) { return s.second.list_number != list_number_; });
+  is_list_open_ = false;
+  // No hooks may run here: requests would be sent by the old list, for which the gossip no longer withholds
+  // any endpoint, before the new list has reached the request policy. The caller checks for changes and runs
+  // the dispatcher once the list is applied.
+  process_events(false);
 }
 void ClusterNode::list_reset() {
-  hearsay_.anew();
-  listed_.clear();
+  gossip_.anew();
+  listed_endpoints_.clear();
 }
 
 void ClusterNode::propose(shared_config::Entry entry, shared_config::Accord::Done done) {
-  if (!accord_) return done(std::nullopt);
-  accord_->propose(now(), std::move(entry), std::move(done));
-  pump();
+  if (!config_node_) return done(std::nullopt);
+  config_node_->propose(now(), std::move(entry), std::move(done));
+  process_events();
 }
 
 }  // namespace cairnhub::cluster
--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -1,6 +1,6 @@
-// This broker among the others: membership, lists in common, agreement on versions, on the event loop. Joins
-// the packages that decide (peers, accord) to messages, store, event log and the operators' address; decides
-// nothing.
+// This broker as one of a cluster, on the event loop. Connects membership, endpoint gossip, the shared
+// configuration, zone failover and maintenance to the transport, the store and the event log. Makes no
+// decision of its own.
 #pragma once
 #include <functional>
 #include <map>
@@ -28,113 +28,136 @@
 
 class ClusterNode : public dispatch::ClusterControl {
  public:
-  // Throws std::runtime_error with one line where an address, a key or the folder can't be had.
+  // Throws std::runtime_error with a one-line message if an address, a key or the folder is not usable.
   ClusterNode(event_base* base, const options::Fleet& options, const settings::Settings& settings,
               std::uint64_t seed);
   ~ClusterNode() override;
 
   void start();
-  // It may open its door: there are no versions, the leader has answered, or the wait stated is over.
+  // Whether the broker may accept clients: it has no shared configuration, the leader has answered, or the
+  // configured wait is over.
   bool is_ready();
-  void set_process_hooks(ProcessHooks program) { program_ = std::move(program); }
-  void reload_keys();         // reads the key file anew; a bad one changes nothing and is logged
-  void leave();               // in good order: lease and lead, before it finishes what is in hand
-  void announce_departure();  // membership, as the last thing said: others hold it for running until then
+  void set_process_hooks(ProcessHooks hooks) { hooks_ = std::move(hooks); }
+  // Reads the key file again. If it is invalid, logs the error and keeps the old keys.
+  void reload_keys();
+  // Hands back the lease and the leadership. Call it when a shutdown begins, before the requests in flight
+  // are finished.
+  void leave();
+  // Leaves the membership. Call it last: until then the other brokers count this one as running.
+  void announce_departure();
 
   // ClusterControl.
   bool refresh_rules() override;
-  const dispatch::RequestClassLimits& limits(int op_type) const override;
-  int max_attempts() const override { return applied_->rules->sends_most; }
-  bool may_hedge() const override { return applied_->rules->second_copies; }
-  bool may_run_two_phase(int op_type) const override;
+  const dispatch::RequestClassLimits& limits(int request_class) const override;
+  int max_attempts() const override { return applied_rules_->rules->sends_most; }
+  bool may_hedge() const override { return applied_rules_->rules->second_copies; }
+  bool may_run_two_phase(int request_class) const override;
   bool serves_index(const std::string& name) const override;
-  bool is_withheld(const std::string& node, Time started) const override;
-  std::uint64_t min_list_revision() const override { return applied_->rules->list_floor; }
-  void list_begins(std::uint64_t revision, bool whole) override;
-  void list_endpoint(const std::string& node, Time started, EndpointState state, const std::string& locality,
-                     int cell) override;
+  bool is_withheld(const std::string& endpoint, Time started_at) const override;
+  std::uint64_t min_list_revision() const override { return applied_rules_->rules->list_floor; }
+  void list_begins(std::uint64_t revision, bool is_complete) override;
+  void list_endpoint(const std::string& endpoint, Time started_at, EndpointState state,
+                     const std::string& locality, int ring_position) override;
   void list_ends() override;
   void list_reset() override;
   const std::vector<ZoneLimit>& zones() const override { return zone_limits_; }
-  int zone_step() const override { return zones_ ? zones_->options().local_queue_advantage : 0; }
-  double exploration_share() const override { return zones_ ? zones_->options().exploration_share : 0; }
+  int zone_step() const override {
+    return zone_failover_ ? zone_failover_->options().local_queue_advantage : 0;
+  }
+  double exploration_share() const override {
+    return zone_failover_ ? zone_failover_->options().exploration_share : 0;
+  }
   int zone_of(const std::string& locality) const override {
-    return zones_ ? zones_->zone_number(locality) : 0;
+    return zone_failover_ ? zone_failover_->zone_number(locality) : 0;
   }
-  bool stays_in_region(int op_type) const override;
-  bool record_attempt(int zone, int op_type) override;
-  void record_attempt_end(const dispatch::TrafficAccount& whose, EndpointId node, AttemptOutcome how,
-                          Time latency) override;
-  void record_bytes(const dispatch::TransferredBytes& what) override;
-  void record_request(int op_type, const dispatch::Request& query) override;
-  bool has_byte_budgets() const override { return crossing_ && crossing_->has_limits(); }
-  bool stays_in_zone(int op_type) override;
+  bool stays_in_region(int request_class) const override;
+  bool record_attempt(int zone, int request_class) override;
+  void record_attempt_end(const dispatch::TrafficAccount& account, EndpointId endpoint,
+                          AttemptOutcome outcome, Time latency) override;
+  void record_bytes(const dispatch::TransferredBytes& bytes) override;
+  void record_request(int request_class, const dispatch::Request& request) override;
+  bool has_byte_budgets() const override { return cross_zone_budget_ && cross_zone_budget_->has_limits(); }
+  bool stays_in_zone(int request_class) override;
 
-  // For the operators' address.
+  // For AdminApi. The pointers are null where the options configure no such part.
   const options::Fleet& options() const { return options_; }
-  const membership::SwimMembership& peers() const { return peers_; }
-  const shared_config::Hearsay& hearsay() const { return hearsay_; }
+  const membership::SwimMembership& membership() const { return membership_; }
+  const shared_config::Hearsay& gossip() const { return gossip_; }
   const transport::Transport& transport() const { return transport_; }
-  shared_config::Accord* accord() { return accord_.get(); }
-  const MaintenanceAgent* works() const { return works_.get(); }
-  const zone_failover::ZoneFailover* zone_part() const { return zones_.get(); }
-  const shared_config::Versions* alone() const { return alone_.get(); }  // where it decides of zones alone
-  const zone_failover::CrossZoneBudget* crossing() const { return crossing_.get(); }
-  const std::vector<std::string>& op_types() const { return op_types_; }
+  shared_config::Accord* shared_config_node() { return config_node_.get(); }
+  const MaintenanceAgent* maintenance_agent() const { return maintenance_agent_.get(); }
+  const zone_failover::ZoneFailover* zone_failover() const { return zone_failover_.get(); }
+  // Not null only if this broker decides on zones by itself, without a shared configuration.
+  const shared_config::Versions* standalone_zone_versions() const { return standalone_zone_versions_.get(); }
+  const zone_failover::CrossZoneBudget* cross_zone_budget() const { return cross_zone_budget_.get(); }
+  const std::vector<std::string>& request_classes() const { return request_classes_; }
+  // Proposes an entry for the shared log. `done` gets the verdict, or none if there was no verdict in time.
   void propose(shared_config::Entry entry, shared_config::Accord::Done done);
 
  private:
-  void heard(const std::string& from, std::string_view body);
-  void heard_lists(const std::string& from, const std::string& cargo);
-  void pump(bool may_turn = true);
-  void woken();
-  void tell_lists(const std::vector<shared_config::Notice>& notices, const std::string& to);
-  std::string lists_digest() const;
+  void handle_message(const std::string& from, std::string_view body);
+  void handle_notices(const std::string& from, const std::string& payload);
+  void process_events(bool may_call_hooks = true);
+  void handle_timer();
+  void send_notices(const std::vector<shared_config::Notice>& notices, const std::string& to);
+  std::string notices_digest() const;
   void send_to(const std::string& to, const std::string& bytes);
-  void begin_zones(const options::Zones& options, const settings::Settings& settings);
+  void set_up_zone_failover(const options::Zones& options, const settings::Settings& settings);
   void save_baseline();
-  void note_lease();
-  void look_behind();
-  std::optional<zone_failover::ZoneReport> look_at_zones(Time at);
-  void turn_zones();
-  void turn_alone();
-  void take_zones();
-  void limit_crossing();
-  int counted_zone(int zone) const;
-  void count_hosts();
+  void record_lease();
+  void check_list_lag();
+  std::optional<zone_failover::ZoneReport> make_due_zone_report(Time at);
+  void update_shared_zones();
+  void update_standalone_zones();
+  void update_zone_limits();
+  void update_cross_zone_budgets();
+  int accounted_zone(int zone) const;
+  void count_endpoints();
 
   options::Fleet options_;
-  std::vector<std::string> op_types_;
+  std::vector<std::string> request_classes_;
   std::unique_ptr<EventLog> event_log_;
-  membership::SwimMembership peers_;
-  shared_config::Hearsay hearsay_;
+  membership::SwimMembership membership_;
+  shared_config::Hearsay gossip_;
   std::unique_ptr<shared_config::Kept> store_;
-  std::unique_ptr<shared_config::Accord> accord_;
+  std::unique_ptr<shared_config::Accord> config_node_;
   transport::Transport transport_;
-  Timer wake_;
-  ProcessHooks program_;
-  std::shared_ptr<const shared_config::Acting> applied_;
-  std::vector<dispatch::RequestClassLimits> limits_;
-  std::unique_ptr<zone_failover::ZoneFailover> zones_;
-  std::unique_ptr<MaintenanceAgent> works_;
-  std::unique_ptr<shared_config::Versions> alone_;  // of zones, where there is no accord: a book of its own
-  std::unique_ptr<zone_failover::CrossZoneBudget> crossing_;
-  std::vector<double> crossing_stated_;  // bytes a second, by op type
+  Timer timer_;
+  ProcessHooks hooks_;
+  std::shared_ptr<const shared_config::Acting> applied_rules_;
+  std::vector<dispatch::RequestClassLimits> limits_;  // by request class
+  std::unique_ptr<zone_failover::ZoneFailover> zone_failover_;
+  std::unique_ptr<MaintenanceAgent> maintenance_agent_;
+  std::unique_ptr<shared_config::Versions> standalone_zone_versions_;
+  std::unique_ptr<zone_failover::CrossZoneBudget> cross_zone_budget_;
+  std::vector<double> configured_byte_budgets_;  // bytes per second across zones, by request class
   std::vector<ZoneLimit> zone_limits_;
-  std::vector<bool> stays_in_region_;  // by op type
-  std::map<std::string, Listed> listed_;
-  int cells_ = 0, width_ = 0;
-  std::vector<bool> far_shards_;  // that have no holder in service in the own zone
-  std::vector<double> needs_;     // share of its parts that an op type needs
-  Time warm_after_ = 0;
-  double cold_from_ = 1;
-  std::uint64_t lists_ = 0;
-  bool list_whole_ = false;
-  std::uint64_t hearsay_seen_ = 0, hearsay_now_ = 0, kept_ground_ = 0, kept_next_ = 0;
-  Time started_at_ = 0, behind_since_ = kNever, asked_agent_at_ = 0, asked_lists_at_ = 0, noted_until_ = 0;
-  std::uint64_t noted_low_ = 0, noted_high_ = 0;
-  std::set<std::string> told_;  // nodes recorded as taking nothing new
-  bool in_list_ = false, pumping_ = false, left_ = false, shares_new_ = false;
+  std::vector<bool> stays_in_region_;                       // by request class
+  std::map<std::string, ListedEndpoint> listed_endpoints_;  // by name
+  int ring_size_ = 0;
+  int replicas_per_shard_ = 0;
+  std::vector<bool> is_remote_only_;     // by shard: no replica is in service in the home zone
+  std::vector<double> required_shares_;  // by request class
+  Time warm_up_time_ = 0;
+  double cold_start_share_ = 1;  // the share of a warm endpoint's capacity that a just started one has
+  std::uint64_t list_number_ = 0;
+  bool is_list_complete_ = false;
+  std::uint64_t gossip_changes_seen_ = 0;  // when the rules were refreshed last
+  std::uint64_t gossip_changes_ = 0;
+  std::uint64_t saved_baseline_ = 0;  // version numbers; 0: none
+  std::uint64_t saved_next_baseline_ = 0;
+  Time started_at_ = 0;
+  Time behind_since_ = kNever;  // when the broker's own list fell behind the other brokers'
+  Time list_requested_at_ = 0;
+  Time notices_requested_at_ = 0;
+  Time recorded_lease_until_ = 0;  // the lease as last written to the event log
+  std::uint64_t recorded_lease_low_ = 0;
+  std::uint64_t recorded_lease_high_ = 0;
+  std::set<std::string> recorded_unavailable_;  // endpoints that the event log has as draining or gone
+  bool is_list_open_ = false;                   // between list_begins() and list_ends()
+  bool is_processing_ = false;
+  bool has_left_ = false;
+  bool zone_limits_changed_ = false;
 };
 
 }  // namespace cairnhub::cluster
--- a/src/cluster/maintenance_agent.cpp
+++ b/src/cluster/maintenance_agent.cpp
@@ -12,17 +12,19 @@
 
 namespace {
 
-maintenance::MaintenanceControllerOptions conduct_terms(const options::Fleet& o,
-                                                        const settings::Settings& settings) {
-  maintenance::MaintenanceControllerOptions t;
-  t.check_interval = o.upkeep->look, t.max_clock_drift = o.accord->drift;
-  t.warm_up_time = settings.span("rules.cold", 0);
-  for (const auto& op : settings::op_types(settings))
-    t.max_attempt_time = std::max(t.max_attempt_time, op.op.request_timeout);
-  return t;
+maintenance::MaintenanceControllerOptions controller_options(const options::Fleet& options,
+                                                             const settings::Settings& settings) {
+  maintenance::MaintenanceControllerOptions result;
+  result.check_interval = options.upkeep->look;
+  result.max_clock_drift = options.accord->drift;
+  result.warm_up_time = settings.span("rules.cold", 0);
+  for (const auto& request_class : settings::op_types(settings))
+    result.max_attempt_time = std::max(result.max_attempt_time, request_class.op.request_timeout);
+  return result;
 }
 
-// Of operators' times: the wall clock as it is now, unlike now(), which no setting of it moves.
+// Returns the wall clock's time, in which operators state the times of jobs. now() is monotonic and does not
+// follow changes of the wall clock.
 Time wall_now() {
   timespec t{};
   clock_gettime(CLOCK_REALTIME, &t);
@@ -32,133 +34,146 @@
 }  // namespace
 
 MaintenanceAgent::MaintenanceAgent(event_base* base, const options::Fleet& options,
-                                   const settings::Settings& settings, shared_config::Accord& accord,
-                                   const membership::SwimMembership& peers,
+                                   const settings::Settings& settings, shared_config::Accord& config_node,
+                                   const membership::SwimMembership& membership,
                                    const zone_failover::ZoneFailover* zones, EventLog* event_log, Send send)
     : options_(options),
-      accord_(accord),
-      peers_(peers),
-      zones_(zones),
+      config_node_(config_node),
+      membership_(membership),
+      zone_failover_(zones),
       event_log_(event_log),
       send_(std::move(send)),
-      conduct_(conduct_terms(options, settings), options.name),
-      cells_(settings.whole("family-info.positions")),
-      width_(settings.whole("family-info.width")),
-      warm_after_(settings.span("rules.cold", 0)),
-      leaves_(base, [this] {
+      controller_(controller_options(options, settings), options.name),
+      ring_size_(settings.whole("family-info.positions")),
+      replicas_per_shard_(settings.whole("family-info.width")),
+      warm_up_time_(settings.span("rules.cold", 0)),
+      stop_timer_(base, [this] {
         if (stop_) stop_();
       }) {}
 
-const maintenance::JobQueue* MaintenanceAgent::book() const {
-  const auto* engine = accord_.engine();
+const maintenance::JobQueue* MaintenanceAgent::job_queue() const {
+  const auto* engine = config_node_.engine();
   return engine ? dynamic_cast<const maintenance::JobQueue*>(engine->versions().board().get()) : nullptr;
 }
 
-maintenance::FleetStatus MaintenanceAgent::see(Time now, const std::map<std::string, Listed>& listed,
-                                               std::uint64_t revision) const {
-  const auto& o = *options_.upkeep;
-  maintenance::FleetStatus f;
-  f.revision = revision, f.ring_size = cells_, f.replicas_per_shard = width_;
-  f.limits = {o.holders_least, o.at_once,  o.a_rack,     o.a_zone, o.a_region,
-              o.zone_keep,     o.headroom, o.lost_after, o.around, o.stop_on_loss};
-  for (const auto& [name, n] : listed) {
-    if (f.endpoints.size() >= maintenance::JobQueue::kMaxEndpoints || n.cell >= cells_) continue;
-    f.endpoints[name] = {n.cell, n.zone, n.ready, n.started == 0 || now - n.started >= warm_after_};
-    if (!n.zone.empty()) f.zones.try_emplace(n.zone);
+maintenance::FleetStatus MaintenanceAgent::fleet_status(Time now,
+                                                        const std::map<std::string, ListedEndpoint>& listed,
+                                                        std::uint64_t revision) const {
+  const auto& limits = *options_.upkeep;
+  maintenance::FleetStatus status;
+  status.revision = revision;
+  status.ring_size = ring_size_;
+  status.replicas_per_shard = replicas_per_shard_;
+  status.limits = {limits.holders_least, limits.at_once,     limits.a_rack,   limits.a_zone,
+                   limits.a_region,      limits.zone_keep,   limits.headroom, limits.lost_after,
+                   limits.around,        limits.stop_on_loss};
+  for (const auto& [name, endpoint] : listed) {
+    if (status.endpoints.size() >= maintenance::JobQueue::kMaxEndpoints ||
+        endpoint.ring_position >= ring_size_)
+      continue;
+    status.endpoints[name] = {endpoint.ring_position, endpoint.zone, endpoint.is_ready,
+                              endpoint.started_at == 0 || now - endpoint.started_at >= warm_up_time_};
+    if (!endpoint.zone.empty()) status.zones.try_emplace(endpoint.zone);
   }
-  if (zones_) {
-    for (const auto& z : zones_->options().zones) f.zones[z.name].region = z.region;
-    for (const auto& e : zones_->explain()) {
-      const auto it = f.zones.find(e.zone);
-      if (it == f.zones.end()) continue;
-      it->second.serves_locally = e.state == zone_failover::FailoverState::kLocal;
-      it->second.load_per_second = e.health.load_per_second,
-      it->second.capacity_per_second = e.health.capacity_per_second;
+  if (zone_failover_) {
+    for (const auto& zone : zone_failover_->options().zones) status.zones[zone.name].region = zone.region;
+    for (const auto& explanation : zone_failover_->explain()) {
+      const auto it = status.zones.find(explanation.zone);
+      if (it == status.zones.end()) continue;
+      it->second.serves_locally = explanation.state == zone_failover::FailoverState::kLocal;
+      it->second.load_per_second = explanation.health.load_per_second;
+      it->second.capacity_per_second = explanation.health.capacity_per_second;
     }
   }
-  f.voters = accord_.engine()->voting();
-  return f;
+  status.voters = config_node_.engine()->voting();
+  return status;
 }
 
-void MaintenanceAgent::turn(Time now, const ProcessHooks& program, const shared_config::Acting& acted,
-                            const std::map<std::string, Listed>& listed, std::uint64_t revision) {
-  if (now < conduct_.next_check_at()) return;
-  conduct_.schedule_next_check(now);
-  // What is acted on under a lease that has lapsed meanwhile tells nothing: the next look will.
-  if (!acted.rules->at_work.empty() && program.clear && acted.low == accord_.acting(now)->low) {
-    maintenance::MaintenanceMessage m;
-    m.open_attempts.emplace();
-    m.open_attempts->lease_low_version = acted.low;
-    for (const auto& node : acted.rules->at_work) m.open_attempts->by_endpoint[node] = program.clear(node);
-    if (accord_.leader() == options_.name || (accord_.engine() && accord_.engine()->leads()))
-      conduct_.record_report(now, options_.name, std::move(*m.open_attempts));
-    else if (!accord_.leader().empty())
-      send_(accord_.leader(), encode_message(m));
+void MaintenanceAgent::run_check(Time now, const ProcessHooks& hooks, const shared_config::Acting& acting,
+                                 const std::map<std::string, ListedEndpoint>& listed,
+                                 std::uint64_t revision) {
+  if (now < controller_.next_check_at()) return;
+  controller_.schedule_next_check(now);
+  // Sends no report if the lease that these rules belong to has expired since: it would prove nothing. The
+  // next check sends one.
+  if (!acting.rules->at_work.empty() && hooks.drain_endpoint && acting.low == config_node_.acting(now)->low) {
+    maintenance::MaintenanceMessage message;
+    message.open_attempts.emplace();
+    message.open_attempts->lease_low_version = acting.low;
+    for (const auto& endpoint : acting.rules->at_work)
+      message.open_attempts->by_endpoint[endpoint] = hooks.drain_endpoint(endpoint);
+    if (config_node_.leader() == options_.name || (config_node_.engine() && config_node_.engine()->leads()))
+      controller_.record_report(now, options_.name, std::move(*message.open_attempts));
+    else if (!config_node_.leader().empty())
+      send_(config_node_.leader(), encode_message(message));
   }
-  const auto* engine = accord_.engine();
-  const auto* works = book();
-  if (!engine || !works) return;
-  accord_.retire(conduct_.retiring_brokers(*works));
-  if (!engine->leads()) return conduct_.stop_leading();
-  if (revision == 0) return;  // it has no list yet, and sees nothing
-  maintenance::LeaderView seen;
-  seen.fleet_status = see(now, listed, revision);
-  seen.leases = accord_.leases().held();
-  seen.voters = engine->voting();
-  for (const auto* member : peers_.members().live()) seen.live_brokers.insert(member->update.name);
-  auto e = conduct_.next_entry(now, wall_now(), engine->versions(), seen);
-  for (const auto& broker : conduct_.brokers_to_stop()) {
-    maintenance::MaintenanceMessage m;
-    for (const auto& [n, w] : works->jobs())
-      if (w.takes_endpoints_out() && std::count(w.request.brokers.begin(), w.request.brokers.end(), broker))
-        m.stop_for_job = n;
-    if (m.stop_for_job) send_(broker, encode_message(m));
+  const auto* engine = config_node_.engine();
+  const auto* jobs = job_queue();
+  if (!engine || !jobs) return;
+  config_node_.retire(controller_.retiring_brokers(*jobs));
+  if (!engine->leads()) return controller_.stop_leading();
+  if (revision == 0) return;  // no endpoint list has arrived yet
+  maintenance::LeaderView view;
+  view.fleet_status = fleet_status(now, listed, revision);
+  view.leases = config_node_.leases().held();
+  view.voters = engine->voting();
+  for (const auto* member : membership_.members().live()) view.live_brokers.insert(member->update.name);
+  auto entry = controller_.next_entry(now, wall_now(), engine->versions(), view);
+  for (const auto& broker : controller_.brokers_to_stop()) {
+    maintenance::MaintenanceMessage message;
+    for (const auto& [number, job] : jobs->jobs())
+      if (job.takes_endpoints_out() &&
+          std::count(job.request.brokers.begin(), job.request.brokers.end(), broker))
+        message.stop_for_job = number;
+    if (message.stop_for_job) send_(broker, encode_message(message));
   }
-  if (!e) return;
-  log("upkeep", "%s", e->why.c_str());
-  accord_.propose(now, std::move(*e), [this](const std::optional<shared_config::Verdict>& v) {
-    if (v && !v->number) log("upkeep", "refused: %s", v->refused.c_str());
-    conduct_.record_proposal_result(v && v->number);
+  if (!entry) return;
+  log("upkeep", "%s", entry->why.c_str());
+  config_node_.propose(now, std::move(*entry), [this](const std::optional<shared_config::Verdict>& verdict) {
+    if (verdict && !verdict->number) log("upkeep", "proposal refused: %s", verdict->refused.c_str());
+    controller_.record_proposal_result(verdict && verdict->number);
   });
 }
 
-void MaintenanceAgent::heard(Time now, const ProcessHooks& program, const std::string& from,
-                             std::string_view bytes) {
-  auto m = maintenance::decode_message(bytes);
-  if (!m) return;
-  if (m->open_attempts) conduct_.record_report(now, from, std::move(*m->open_attempts));
-  if (m->stop_for_job) stand_down(program, m->stop_for_job);
+void MaintenanceAgent::handle_message(Time now, const ProcessHooks& hooks, const std::string& from,
+                                      std::string_view bytes) {
+  auto message = maintenance::decode_message(bytes);
+  if (!message) return;
+  if (message->open_attempts) controller_.record_report(now, from, std::move(*message->open_attempts));
+  if (message->stop_for_job) stop_broker(hooks, message->stop_for_job);
 }
 
-// Its front hears of it by its health first; then all goes as SIGTERM does.
-void MaintenanceAgent::stand_down(const ProcessHooks& program, std::uint64_t work) {
-  if (standing_down_ || !program.stop) return;
-  standing_down_ = true;
-  log("upkeep", "this machine is taken out, work %llu: leaving", static_cast<unsigned long long>(work));
-  if (event_log_) event_log_->record_event("stands_down").with("work", work);
-  if (program.not_ready) program.not_ready();
-  stop_ = program.stop;
-  leaves_.start(options_.upkeep ? options_.upkeep->notice : 0);
+// Fails the health check first, so that the load balancer in front notices, and shuts down as on SIGTERM
+// after the configured notice time.
+void MaintenanceAgent::stop_broker(const ProcessHooks& hooks, std::uint64_t job) {
+  if (is_stopping_ || !hooks.stop) return;
+  is_stopping_ = true;
+  log("upkeep", "maintenance job %llu takes this machine out: stopping this broker",
+      static_cast<unsigned long long>(job));
+  if (event_log_) event_log_->record_event("stands_down").with("work", job);
+  if (hooks.set_not_ready) hooks.set_not_ready();
+  stop_ = hooks.stop;
+  stop_timer_.start(options_.upkeep ? options_.upkeep->notice : 0);
 }
 
-void MaintenanceAgent::applied() {
-  const auto* works = book();
-  if (!works || !event_log_) return;
-  for (const auto& [n, w] : works->jobs()) {
-    const auto [it, fresh] = recorded_.try_emplace(n, w.state);
-    if (!fresh && it->second == w.state) continue;
-    it->second = w.state;
-    std::string nodes;
-    for (const auto& node : w.request.endpoints) nodes += (nodes.empty() ? "" : " ") + node;
+void MaintenanceAgent::record_job_changes() {
+  const auto* jobs = job_queue();
+  if (!jobs || !event_log_) return;
+  for (const auto& [number, job] : jobs->jobs()) {
+    const auto [it, is_new] = recorded_states_.try_emplace(number, job.state);
+    if (!is_new && it->second == job.state) continue;
+    it->second = job.state;
+    std::string endpoints;
+    for (const auto& endpoint : job.request.endpoints) endpoints += (endpoints.empty() ? "" : " ") + endpoint;
     event_log_->record_event("work")
-        .with("work", n)
-        .with("machine", w.request.machine)
-        .with("step", maintenance::job_state_name(w.state))
-        .with("nodes", nodes)
-        .with("index", accord_.engine()->applied_index())
-        .with("why", w.state_reason);
+        .with("work", number)
+        .with("machine", job.request.machine)
+        .with("step", maintenance::job_state_name(job.state))
+        .with("nodes", endpoints)
+        .with("index", config_node_.engine()->applied_index())
+        .with("why", job.state_reason);
   }
-  std::erase_if(recorded_, [&](const auto& r) { return !works->jobs().count(r.first); });
+  std::erase_if(recorded_states_, [&](const auto& recorded) { return !jobs->jobs().count(recorded.first); });
 }
 
 }  // namespace cairnhub::cluster
