--- a/src/cluster/cluster_node.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -50,7 +50,7 @@
   terms.voters = options.voters;
   terms.life = randombytes_random();
   terms.replace_after = options.replace_after;
-  // Elections take a small share of the lease time, so that the first commits after an election fit into it
+  // Elections take a small share of the stated time, so that the first commits after an election fit into it
   // as well.
   const Time ms = kSecond / 1000;
   terms.engine.election = std::clamp<Time>(options.stated / 8, 60 * ms, 300 * ms);
@@ -80,7 +80,7 @@
   result.region_failover.max_dwell = 16 * options.region_dwell;
   result.traffic_split.headroom_share = options.headroom;
   result.traffic_split.min_share_thousandths = options.ground_share;
-  // A state is confirmed by several reports within the confirmation time.
+  // Several reports must fall within the confirmation time.
   result.report_interval = std::max<Time>(options.confirm / 4, kSecond / 20);
   result.load_window = 2 * result.report_interval;
   result.health.max_report_age = 3 * result.report_interval;
@@ -104,30 +104,31 @@
 
 }  // namespace
 
-ClusterNode::ClusterNode(event_base* base, const options::Fleet& o, const settings::Settings& settings,
+ClusterNode::ClusterNode(event_base* base, const options::Fleet& options, const settings::Settings& settings,
                          std::uint64_t seed)
-    : options_(o),
-      membership_(membership_options(o), o.name, o.advertise, seed),
-      transport_(base, o.listen, o.name, transport::read_keys(o.key_file),
+    : options_(options),
+      membership_(membership_options(options), options.name, options.advertise, seed),
+      transport_(base, options.listen, options.name, transport::read_keys(options.key_file),
                  [this](const std::string& from, std::string_view body) { handle_message(from, body); }),
       timer_(base, [this] { handle_timer(); }) {
-  for (const auto& named : settings::op_types(settings)) request_classes_.push_back(named.name);
-  if (!o.records.empty()) event_log_ = std::make_unique<EventLog>(o.records, o.name);
-  for (const auto& p : o.peers) membership_.add_configured_member(p.name, p.address);
-  if (o.accord) {
-    shared_config::Rules baseline = read_baseline(*o.accord);
-    if (!o.accord->folder.empty()) {
+  for (const auto& request_class : settings::op_types(settings))
+    request_classes_.push_back(request_class.name);
+  if (!options.records.empty()) event_log_ = std::make_unique<EventLog>(options.records, options.name);
+  for (const auto& peer : options.peers) membership_.add_configured_member(peer.name, peer.address);
+  if (options.accord) {
+    shared_config::Rules baseline = read_baseline(*options.accord);
+    if (!options.accord->folder.empty()) {
       std::string damaged_store;
       std::uint64_t id;
       randombytes_buf(&id, sizeof id);
-      store_ = shared_config::Kept::open(o.accord->folder, id >> 1 | 1, &damaged_store);
+      store_ = shared_config::Kept::open(options.accord->folder, id >> 1 | 1, &damaged_store);
       if (!damaged_store.empty()) {
         log("accord", "the store is damaged: renamed to %s; this broker joins again with an empty store",
             damaged_store.c_str());
         if (event_log_) event_log_->record_event("set_aside").with("as", damaged_store);
       }
     }
-    config_node_ = std::make_unique<shared_config::Accord>(shared_config_terms(*o.accord), o.name,
+    config_node_ = std::make_unique<shared_config::Accord>(shared_config_terms(*options.accord), options.name,
                                                            store_.get(), std::move(baseline), seed + 1,
                                                            std::make_shared<maintenance::JobQueue>());
     std::string text;
@@ -142,15 +143,15 @@
           std::make_shared<const shared_config::Rules>(shared_config::parse_rules(text, "saved baseline"));
       config_node_->keep_ground(saved);
     }
-    config_node_->applied = [this](const shared_config::Entry& e, const shared_config::Verdict& v) {
+    config_node_->applied = [this](const shared_config::Entry& entry, const shared_config::Verdict& verdict) {
       if (!event_log_) return;
       event_log_->record_event("applied")
-          .with("kind", static_cast<std::uint64_t>(e.kind))
-          .with("number", v.number)
-          .with("id", e.id)
+          .with("kind", static_cast<std::uint64_t>(entry.kind))
+          .with("number", verdict.number)
+          .with("id", entry.id)
           .with("index", config_node_ && config_node_->engine() ? config_node_->engine()->applied_index() : 0)
-          .with("refused", v.refused);
-      if (maintenance_agent_ && e.kind == shared_config::Entry::Kind::board)
+          .with("refused", verdict.refused);
+      if (maintenance_agent_ && entry.kind == shared_config::Entry::Kind::board)
         maintenance_agent_->record_job_changes();
     };
     applied_rules_ = config_node_->acting(now());
@@ -165,8 +166,8 @@
   cold_start_share_ = settings.number("rules.cold-from", 1);
   ring_size_ = settings.whole("family-info.positions");
   replicas_per_shard_ = settings.whole("family-info.width");
-  if (o.zones) set_up_zone_failover(*o.zones, settings);
-  if (o.upkeep)
+  if (options.zones) set_up_zone_failover(*options.zones, settings);
+  if (options.upkeep)
     maintenance_agent_ = std::make_unique<MaintenanceAgent>(
         base, options_, settings, *config_node_, membership_, zone_failover_.get(), event_log_.get(),
         [this](const std::string& to, const std::string& bytes) {
@@ -174,19 +175,22 @@
         });
 }
 
-void ClusterNode::set_up_zone_failover(const options::Zones& o, const settings::Settings& settings) {
-  zone_failover_ = std::make_unique<zone_failover::ZoneFailover>(zone_failover_options(o), options_.name);
-  const auto ops = settings::op_types(settings);
-  for (const auto& named : ops) required_shares_.push_back(named.op.required_share);
-  for (std::size_t i = 0; i < ops.size(); ++i)
-    stays_in_region_[i] = std::count(o.stay_in_region.begin(), o.stay_in_region.end(), ops[i].name) > 0 ||
-                          ops[i].op.latency_objective < kMinRoundTripsInObjective * o.region_round_trip;
+void ClusterNode::set_up_zone_failover(const options::Zones& options, const settings::Settings& settings) {
+  zone_failover_ =
+      std::make_unique<zone_failover::ZoneFailover>(zone_failover_options(options), options_.name);
+  const auto classes = settings::op_types(settings);
+  for (const auto& request_class : classes) required_shares_.push_back(request_class.op.required_share);
+  for (std::size_t i = 0; i < classes.size(); ++i)
+    stays_in_region_[i] =
+        std::count(options.stay_in_region.begin(), options.stay_in_region.end(), classes[i].name) > 0 ||
+        classes[i].op.latency_objective < kMinRoundTripsInObjective * options.region_round_trip;
   if (!config_node_) standalone_zone_versions_ = std::make_unique<shared_config::Versions>();
-  cross_zone_budget_ = std::make_unique<zone_failover::CrossZoneBudget>(o.crossing_saved, ops.size());
-  configured_byte_budgets_.assign(ops.size(), zone_failover::kNoBudget);
-  for (const auto& [name, bytes_per_second] : o.crossing)
-    for (std::size_t i = 0; i < ops.size(); ++i)
-      if (ops[i].name == name) configured_byte_budgets_[i] = static_cast<double>(bytes_per_second);
+  cross_zone_budget_ =
+      std::make_unique<zone_failover::CrossZoneBudget>(options.crossing_saved, classes.size());
+  configured_byte_budgets_.assign(classes.size(), zone_failover::kNoBudget);
+  for (const auto& [name, bytes_per_second] : options.crossing)
+    for (std::size_t i = 0; i < classes.size(); ++i)
+      if (classes[i].name == name) configured_byte_budgets_[i] = static_cast<double>(bytes_per_second);
   update_cross_zone_budgets();
   update_zone_limits();
 }
@@ -353,8 +357,8 @@
   } else if (zone_failover_) {
     update_standalone_zones();
   }
-  // May be called while the agent's response is being read; a new request to the agent would then free the
-  // connection that is still in use.
+  // This function may run while the agent's response is being read; a new request to the agent would then
+  // free the connection that is still in use.
   if (may_call_hooks) check_list_lag();
   Time next = membership_.next_timer();
   if (config_node_) {
@@ -571,9 +575,9 @@
 void ClusterNode::record_request(int request_class, const dispatch::Request& request) {
   if (!zone_failover_) return;
   std::size_t remote_only = 0;
-  for (const auto& p : request.shard_requests)
-    remote_only += static_cast<std::size_t>(p->shard) < is_remote_only_.size() &&
-                   is_remote_only_[static_cast<std::size_t>(p->shard)];
+  for (const auto& shard_request : request.shard_requests)
+    remote_only += static_cast<std::size_t>(shard_request->shard) < is_remote_only_.size() &&
+                   is_remote_only_[static_cast<std::size_t>(shard_request->shard)];
   const double required_share = required_shares_.at(static_cast<std::size_t>(request_class));
   zone_failover_->record_demand(now(), required_share * static_cast<double>(request.shard_requests.size()),
                                 required_share * static_cast<double>(remote_only));
@@ -606,8 +610,8 @@
   if (acting == applied_rules_) return gossip_changed;
   applied_rules_ = acting;
   for (std::size_t i = 0; i < request_classes_.size(); ++i) {
-    const auto& r = applied_rules_->rules->of(request_classes_[i]);
-    limits_[i] = {r.served, r.time_most, r.held_most, r.budget_most, r.least_share};
+    const auto& rule = applied_rules_->rules->of(request_classes_[i]);
+    limits_[i] = {rule.served, rule.time_most, rule.held_most, rule.budget_most, rule.least_share};
   }
   if (zone_failover_) {
     update_cross_zone_budgets();
