--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -45,18 +45,18 @@
 };
 
 // What the search front tells of nodes, from the list.
-class Around : public frontend::opensearch::Surroundings {
+class Around : public frontend::opensearch::EndpointView {
  public:
   Around(const dispatch::EndpointRegistry& members, const settings::Settings& s)
       : members_(members), cells_(s.whole("family-info.positions")), width_(s.whole("family-info.width")) {}
-  std::string node_name(EndpointId id) const override { return members_.name_of(id); }
-  std::vector<std::string> holders(int block) const override {
+  std::string endpoint_name(EndpointId id) const override { return members_.name_of(id); }
+  std::vector<std::string> replica_names(int block) const override {
     std::vector<std::string> all;
     for (int j = 0; j < width_; ++j)
       for (auto& name : members_.ready_at((block + j) % cells_)) all.push_back(std::move(name));
     return all;
   }
-  int nodes() const override { return members_.ready_count(); }
+  int ready_count() const override { return members_.ready_count(); }
 
  private:
   const dispatch::EndpointRegistry& members_;
@@ -79,7 +79,7 @@
     server::BrokerOptions extras;
     std::unique_ptr<cluster::Fleet> fleet;
     std::unique_ptr<cluster::Operators> operators;
-    std::vector<frontend::opensearch::Index> indices;
+    std::vector<frontend::opensearch::IndexDefinition> indices;
     opensearch::Limits limits;
     if (!options.empty()) {
       const auto stated = options::read(options);
@@ -118,11 +118,11 @@
       }
     }
     Broker broker(base, config, extras);
-    frontend::two_phase::Front two_phase_front(broker.request_parser(), broker.two_phase_runner());
+    frontend::two_phase::TwoPhaseFrontend two_phase_front(broker.request_parser(), broker.two_phase_runner());
     if (!extras.two_phase_classes.empty()) broker.add_frontend(two_phase_front);
     const Around around(broker.endpoints(), config.settings);
-    frontend::opensearch::Front search_front(indices, limits, broker.in_flight_requests(),
-                                             broker.dispatcher(), around);
+    frontend::opensearch::OpenSearchFrontend search_front(indices, limits, broker.in_flight_requests(),
+                                                          broker.dispatcher(), around);
     if (!indices.empty()) broker.add_frontend(search_front);
     const auto leave = [&] {
       log("stop", "finishing what is in hand");
--- a/src/frontend/http/http_server.cpp
+++ b/src/frontend/http/http_server.cpp
@@ -76,8 +76,8 @@
 }  // namespace
 
 // A connection, from its acceptance on.
-struct TakeIn::ClientState {
-  TakeIn* home;
+struct HttpServer::ClientState {
+  HttpServer* home;
   evhttp_connection* connection;
   event* end = nullptr;               // hears of the client's leaving while its multiget is in hand
   evhttp_request* request = nullptr;  // in hand
@@ -109,7 +109,7 @@
 };
 
 // The reply that a request waits for.
-class TakeIn::Waiting : public dispatch::Responder {
+class HttpServer::Waiting : public dispatch::Responder {
  public:
   explicit Waiting(ClientState& client) : client_(&client) { client.waiting = this; }
   ~Waiting() override {
@@ -142,15 +142,16 @@
   ClientState* client_;
 };
 
-TakeIn::ClientState::~ClientState() {
+HttpServer::ClientState::~ClientState() {
   if (waiting) waiting->left();
   if (end) event_free(end);
   count_unfinished(0);
   evbuffer_remove_cb(bufferevent_get_input(evhttp_connection_get_bufferevent(connection)), on_bytes, this);
 }
 
-TakeIn::TakeIn(event_base* base, const std::string& listen, int pause_at, std::size_t most_idle,
-               std::size_t unfinished_most, platform::Admit& admit, dispatch::RequestDispatcher& route)
+HttpServer::HttpServer(event_base* base, const std::string& listen, int pause_at, std::size_t most_idle,
+                       std::size_t unfinished_most, platform::RequestParser& admit,
+                       dispatch::RequestDispatcher& route)
     : base_(base),
       pause_at_(pause_at),
       most_idle_(most_idle),
@@ -190,7 +191,7 @@
       [](event_base* b, void* self) {
         bufferevent* bev = bufferevent_socket_new(b, -1, BEV_OPT_CLOSE_ON_FREE);
         guarded("accept", [&] {
-          auto* t = static_cast<TakeIn*>(self);
+          auto* t = static_cast<HttpServer*>(self);
           t->accepted();
           if (!bev) return;
           if (t->just_accepted_.empty()) t->sweep_timer_.start(0);
@@ -203,12 +204,12 @@
   evhttp_set_gencb(
       http_,
       [](evhttp_request* r, void* self) {
-        guarded("request", [&] { static_cast<TakeIn*>(self)->request(r); });
+        guarded("request", [&] { static_cast<HttpServer*>(self)->request(r); });
       },
       this);
 }
 
-TakeIn::~TakeIn() {
+HttpServer::~HttpServer() {
   accepting_ = nullptr;
   for (auto& [connection, client] : clients_) evhttp_connection_set_closecb(connection, nullptr, nullptr);
   clients_.clear();
@@ -218,7 +219,7 @@
 
 // Pauses accepting while descriptors run short, so that what is open can be served. The number of a new one
 // tells: the system gives out the lowest free.
-void TakeIn::accepted() {
+void HttpServer::accepted() {
   if (closed_) return;
   const int next = dup(evconnlistener_get_fd(listener_));
   if (next >= 0) close(next);
@@ -229,14 +230,14 @@
   }
 }
 
-TakeIn::ClientState& TakeIn::client_of(evhttp_connection* connection) {
+HttpServer::ClientState& HttpServer::client_of(evhttp_connection* connection) {
   auto& slot = clients_[connection];
   if (slot) return *slot;
   slot = std::make_unique<ClientState>(ClientState{this, connection});
   evhttp_connection_set_closecb(
       connection,
       [](evhttp_connection* c, void* self) {
-        guarded("close", [&] { static_cast<TakeIn*>(self)->on_closed(c); });
+        guarded("close", [&] { static_cast<HttpServer*>(self)->on_closed(c); });
       },
       this);
   bufferevent* bev = evhttp_connection_get_bufferevent(connection);
@@ -254,7 +255,7 @@
 }
 
 // Connections that were just accepted get their state, and those that overstay are let go.
-void TakeIn::sweep() {
+void HttpServer::sweep() {
   sweep_due_ = false;
   for (bufferevent* bev : std::exchange(just_accepted_, {})) {
     // The library's own word with its callbacks is the connection; it is told of none before the first
@@ -283,7 +284,7 @@
 }
 
 // Danger: clients that connect and say nothing, or half of something, use up the descriptors.
-bool TakeIn::overstays(const ClientState& client) const {
+bool HttpServer::overstays(const ClientState& client) const {
   if (client.request || output_length(client.connection) > 0) return false;
   const Time at = now();
   if (closed_ && !client.begun && (client.has_requested || at - client.since > kSilentClosing)) return true;
@@ -294,13 +295,13 @@
 
 // Danger: a timer that is started again in the turn in which it falls due isn't called in that turn; with
 // bytes in each turn, never.
-void TakeIn::sweep_if_too_much() {
+void HttpServer::sweep_if_too_much() {
   if (unfinished_ > unfinished_most_ && !std::exchange(sweep_due_, true)) sweep_timer_.start(0);
 }
 
 // Danger: clients that each send nearly a whole body and stop; the memory would go to what nobody will ever
 // ask. Those that hold most go first. Harm: a sound client that writes a large request slowly meanwhile.
-void TakeIn::bound_unfinished() {
+void HttpServer::bound_unfinished() {
   if (unfinished_ <= unfinished_most_) return;
   std::vector<std::pair<std::size_t, evhttp_connection*>> holding;
   for (auto& [connection, client] : clients_)
@@ -317,7 +318,7 @@
 // Says why a connection is closed to a client that has begun to ask. Danger: it would take the close for a
 // broker that died with its request. Nothing waits to be written before it, and what the system doesn't take
 // at once is not tried again.
-void TakeIn::refuse_unfinished(const ClientState& client) {
+void HttpServer::refuse_unfinished(const ClientState& client) {
   if (!client.begun) return;
   const std::string body = "the request came too slowly; nothing of it was used";
   const std::string answer =
@@ -330,7 +331,7 @@
 }
 
 template <class F>
-void TakeIn::close_where(F which) {
+void HttpServer::close_where(F which) {
   std::vector<evhttp_connection*> over;
   for (auto& [connection, client] : clients_)
     if (which(*client) && !about_to_read(connection)) over.push_back(connection);
@@ -343,13 +344,13 @@
 // How long the request just read has waited since its last byte came: behind another one, or unread at its
 // socket. Danger: while accepting pauses, or the process is held up, it is read long after it came; servers
 // would be told a time that its client no longer has.
-Time TakeIn::time_waited(ClientState& client) {
+Time HttpServer::time_waited(ClientState& client) {
   const Time at = now();
   const Time behind_others = at - client.arrivals.last_taken(input_length(client.connection), at);
   return std::max(behind_others, since_last_data(socket_of(client.connection)));
 }
 
-void TakeIn::request(evhttp_request* r) {
+void HttpServer::request(evhttp_request* r) {
   ClientState& client = client_of(evhttp_request_get_connection(r));
   client.request = r;
   client.has_requested = true, client.begun = 0;
@@ -366,7 +367,7 @@
     return ready_ && can_serve_ ? reply->respond(200, "", "ready\n")
                                 : reply->respond(503, "", ready_ ? "no servers known yet\n" : "leaving\n");
   const auto front =
-      std::find_if(fronts_.begin(), fronts_.end(), [&](const Front* f) { return f->takes(path); });
+      std::find_if(fronts_.begin(), fronts_.end(), [&](const Frontend* f) { return f->handles(path); });
   const bool post = evhttp_request_get_command(r) == EVHTTP_REQ_POST;
   // Danger: what is sent on so late may be unanswered when the process is killed.
   if (closed_) return reply->respond(503, "", "leaving; trying again elsewhere is harmless\n");
@@ -380,27 +381,27 @@
   };
   evbuffer* body = evhttp_request_get_input_buffer(r);
   const std::size_t n = evbuffer_get_length(body);
-  platform::Asked asked{path.substr(path.empty() ? 0 : 1, path.find('/', 1) - 1),
-                        header("X-Txn"),
-                        header("X-Lane"),
-                        header("X-Remaining"),
-                        header("X-Resent"),
-                        {n ? reinterpret_cast<const char*>(evbuffer_pullup(body, -1)) : "", n}};
+  platform::ClientRequest asked{path.substr(path.empty() ? 0 : 1, path.find('/', 1) - 1),
+                                header("X-Txn"),
+                                header("X-Lane"),
+                                header("X-Remaining"),
+                                header("X-Resent"),
+                                {n ? reinterpret_cast<const char*>(evbuffer_pullup(body, -1)) : "", n}};
   asked.waited = waited;
   std::function<void()> leave;
   if (front != fronts_.end()) {
     const char* parameters = evhttp_uri_get_query(evhttp_request_get_evhttp_uri(r));
     asked.path = path, asked.parameters = parameters ? parameters : "", asked.method = post ? "POST" : "GET";
-    leave = (*front)->take(asked, std::move(reply));
+    leave = (*front)->handle(asked, std::move(reply));
   } else {
-    const RequestId id = admit_.take(asked, std::move(reply));
+    const RequestId id = admit_.start_request(asked, std::move(reply));
     leave = [this, id] { route_.abandon_request(id); };
   }
   if (client.request) client.leave = std::move(leave);  // else answered already
 }
 
 // evhttp doesn't read while a request is being handled, and so doesn't hear of a client that leaves.
-void TakeIn::watch_for_departure(ClientState& client) {
+void HttpServer::watch_for_departure(ClientState& client) {
   const int fd = socket_of(client.connection);
   if (!client.end)
     client.end = event_new(
@@ -421,14 +422,14 @@
 
 // Bytes ahead of their time wait until the answer is out: the parser reads one request at a time, and an
 // event for them would come again and again. Danger: behind them the client's leaving isn't heard.
-void TakeIn::keep_early_bytes(ClientState& client) {
+void HttpServer::keep_early_bytes(ClientState& client) {
   event_del(client.end);
   client.early_bytes = true;
   client.arrivals.seen_unread(now());
   if (!early_bytes_timer_.pending()) early_bytes_timer_.start(kEarlyBytesCheckEvery);
 }
 
-void TakeIn::check_early_bytes() {
+void HttpServer::check_early_bytes() {
   std::vector<evhttp_connection*> left;
   bool any = false;
   for (auto& [connection, client] : clients_) {
@@ -441,7 +442,7 @@
 }
 
 // The connection is freed by the event of its end, not here: this may be called from within its callbacks.
-void TakeIn::tell_departures() {
+void HttpServer::abandon_departed() {
   std::vector<std::function<void()>> leaves;
   for (auto& [connection, client] : clients_)
     if (client->leave && peer_closed(socket_of(connection)))
@@ -449,7 +450,7 @@
   for (const auto& leave : leaves) leave();
 }
 
-void TakeIn::on_closed(evhttp_connection* connection) {
+void HttpServer::on_closed(evhttp_connection* connection) {
   const auto it = clients_.find(connection);
   if (it == clients_.end()) return;
   const auto leave = std::move(it->second->leave);
@@ -457,17 +458,17 @@
   if (leave) leave();
 }
 
-void TakeIn::last_answers() { last_answers_ = true; }
+void HttpServer::close_after_responses() { last_answers_ = true; }
 
 // Danger: a request that was read, or whose bytes wait at the socket, behind the one now answered would go
 // with the connection. It is answered first, within bounds.
-bool TakeIn::answers_last(const ClientState& client) const {
+bool HttpServer::answers_last(const ClientState& client) const {
   if (!last_answers_) return false;
   if (closed_ && now() - closed_at_ > kPipelineClosing) return true;
   return input_length(client.connection) == 0 && unread(client.connection) == 0;
 }
 
-bool TakeIn::has_backlog() const {
+bool HttpServer::has_backlog() const {
   if (closed_) return false;
   return ready_events(evconnlistener_get_fd(listener_), POLLIN) != 0;
 }
@@ -475,13 +476,13 @@
 // Danger: a crowd that says nothing holds the descriptors as the process shuts down, and requests behind it
 // in the system's queue are reset with the listener. Harm: one of the crowd that was about to ask must
 // connect anew.
-void TakeIn::make_room() {
+void HttpServer::make_room() {
   if (!paused_) return;
   close_where([](const ClientState& client) { return client.at_rest(); });
   accepted();
 }
 
-void TakeIn::stop_accepting() {
+void HttpServer::stop_accepting() {
   closed_ = true;
   closed_at_ = now();
   evconnlistener_disable(listener_);
--- a/src/frontend/http/http_server.h
+++ b/src/frontend/http/http_server.h
@@ -21,37 +21,37 @@
 namespace cairnhub::frontend {
 
 // A form of requests beside the platform's, on the same listener.
-class Front {
+class Frontend {
  public:
-  virtual ~Front() = default;
-  virtual bool takes(std::string_view path) const = 0;
+  virtual ~Frontend() = default;
+  virtual bool handles(std::string_view path) const = 0;
   // Returns what to call should the client leave before it's answered.
-  virtual std::function<void()> take(const platform::Asked& asked,
-                                     std::unique_ptr<dispatch::Responder> reply) = 0;
+  virtual std::function<void()> handle(const platform::ClientRequest& asked,
+                                       std::unique_ptr<dispatch::Responder> reply) = 0;
 };
 
-class TakeIn {
+class HttpServer {
  public:
-  void add(Front& front) { fronts_.push_back(&front); }
+  void add_frontend(Frontend& front) { fronts_.push_back(&front); }
   // `pause_at`: the descriptor from which on no further connection is accepted. Past `most_idle` connections
   // that have been answered, those idle longest are let go. `unfinished_most`: bytes of unfinished requests,
   // over all connections.
-  TakeIn(event_base* base, const std::string& listen, int pause_at, std::size_t most_idle,
-         std::size_t unfinished_most, platform::Admit& admit, dispatch::RequestDispatcher& route);
-  ~TakeIn();
+  HttpServer(event_base* base, const std::string& listen, int pause_at, std::size_t most_idle,
+             std::size_t unfinished_most, platform::RequestParser& admit, dispatch::RequestDispatcher& route);
+  ~HttpServer();
 
-  void not_ready() { ready_ = false; }  // whoever asks for its health is told so
+  void set_not_ready() { ready_ = false; }  // whoever asks for its health is told so
   // Health is answered with 200 only from now on. Danger: a process that knows no server would be given
   // clients to turn away.
-  void can_serve() { can_serve_ = true; }
-  void last_answers();       // from now on each answer ends its connection
-  bool has_backlog() const;  // connections wait to be accepted
+  void set_can_serve() { can_serve_ = true; }
+  void close_after_responses();  // from now on each answer ends its connection
+  bool has_backlog() const;      // connections wait to be accepted
   // Accepting goes on where it had paused, as connections that rest are closed for it.
   void make_room();
   // Tells of the clients that have gone though the event of it is still to come.
-  void tell_departures();
+  void abandon_departed();
   void stop_accepting();  // accepts no more and lets idle connections go; what is read from now on is refused
-  bool quiet() const { return clients_.empty() && just_accepted_.empty(); }  // every answer is written
+  bool is_idle() const { return clients_.empty() && just_accepted_.empty(); }  // every answer is written
 
  private:
   class Waiting;
@@ -73,7 +73,7 @@
   void bound_unfinished();
   void sweep_if_too_much();
 
-  static inline TakeIn* accepting_ = nullptr;
+  static inline HttpServer* accepting_ = nullptr;
   event_base* base_;
   evhttp* http_ = nullptr;
   evconnlistener* listener_ = nullptr;
@@ -83,9 +83,9 @@
   Timer sweep_timer_;
   Timer early_bytes_timer_;  // for clients that wrote ahead: whether they have left
   Timer accept_again_;
-  platform::Admit& admit_;
+  platform::RequestParser& admit_;
   dispatch::RequestDispatcher& route_;
-  std::vector<Front*> fronts_;
+  std::vector<Frontend*> fronts_;
   std::vector<bufferevent*>
       just_accepted_;  // accepted in this turn of the loop; held until they get their state
   std::map<evhttp_connection*, std::unique_ptr<ClientState>> clients_;
--- a/src/frontend/opensearch/opensearch_frontend.cpp
+++ b/src/frontend/opensearch/opensearch_frontend.cpp
@@ -66,7 +66,7 @@
 }  // namespace
 
 // A request of the API, of one search or many: answered once, when all of them have ended.
-struct Front::Job {
+struct OpenSearchFrontend::Job {
   std::unique_ptr<dispatch::Responder> reply;
   std::vector<os::Outcome> outcomes;
   std::vector<RequestId> open;  // by slot; 0 once ended
@@ -87,14 +87,15 @@
   void answer() {
     const os::Outcome all = form(*this);
     const Time advice = outcomes.size() == 1 ? come_back[0] : 0;
-    reply->respond(all.status, frontend::platform::come_back_text(advice), all.body, "application/json");
+    reply->respond(all.status, frontend::platform::retry_after_text(advice), all.body, "application/json");
   }
 };
 
 // The client of one search's multiget.
-class Front::Ask : public dispatch::RequestCallbacks {
+class OpenSearchFrontend::Ask : public dispatch::RequestCallbacks {
  public:
-  Ask(Front& home, std::shared_ptr<Job> job, Slot slot, const Index& index, os::Search search, bool counts)
+  Ask(OpenSearchFrontend& home, std::shared_ptr<Job> job, Slot slot, const IndexDefinition& index,
+      os::Search search, bool counts)
       : home_(home),
         job_(std::move(job)),
         slot_(slot),
@@ -154,7 +155,7 @@
       f.index = index_.name, f.block = p->shard - index_.first;
       if (!p->attempts.empty()) {
         const dispatch::Attempt& last = *p->attempts.back();
-        f.node = home_.around_.node_name(last.endpoint);
+        f.node = home_.around_.endpoint_name(last.endpoint);
         f.how = how(last);
         const auto why = unusable_.find(p->shard);
         if (f.how == os::Failure::How::error && why != unusable_.end())
@@ -184,10 +185,10 @@
     return os::Failure::How::error;
   }
 
-  Front& home_;
+  OpenSearchFrontend& home_;
   std::shared_ptr<Job> job_;
   Slot slot_;
-  const Index& index_;
+  const IndexDefinition& index_;
   const os::Search search_;
   std::map<int, std::unique_ptr<os::BlockAnswer>> answers_;  // by shard
   std::map<int, const char*> unusable_;
@@ -195,14 +196,15 @@
   bool counts_;
 };
 
-Front::Front(std::vector<Index> indices, const os::Limits& limits, dispatch::InFlightRequests& book,
-             dispatch::RequestDispatcher& route, const Surroundings& around)
+OpenSearchFrontend::OpenSearchFrontend(std::vector<IndexDefinition> indices, const os::Limits& limits,
+                                       dispatch::InFlightRequests& book, dispatch::RequestDispatcher& route,
+                                       const EndpointView& around)
     : indices_(std::move(indices)), limits_(limits), book_(book), route_(route), around_(around) {}
 
-bool Front::takes(std::string_view path) const { return known_verb(split(path).second); }
+bool OpenSearchFrontend::handles(std::string_view path) const { return known_verb(split(path).second); }
 
-const Index* Front::find(const std::string& name) const {
-  for (const Index& i : indices_) {
+const IndexDefinition* OpenSearchFrontend::find(const std::string& name) const {
+  for (const IndexDefinition& i : indices_) {
     if (!route_.serves_index(i.name)) continue;  // taken out by rules that brokers hold in common
     if (i.name == name || ((name.empty() || name == "_all" || name == "*") && indices_.size() == 1))
       return &i;
@@ -210,8 +212,8 @@
   return nullptr;
 }
 
-std::function<void()> Front::take(const frontend::platform::Asked& asked,
-                                  std::unique_ptr<dispatch::Responder> reply) {
+std::function<void()> OpenSearchFrontend::handle(const frontend::platform::ClientRequest& asked,
+                                                 std::unique_ptr<dispatch::Responder> reply) {
   const auto [index, verb] = split(asked.path);
   const auto says = [&](const os::Outcome& o) {
     reply->respond(o.status, "", o.body, "application/json");
@@ -227,7 +229,7 @@
   return search(asked, index, verb == "_count", std::move(reply));
 }
 
-std::function<void()> Front::leaves(const std::shared_ptr<Job>& job) {
+std::function<void()> OpenSearchFrontend::leaves(const std::shared_ptr<Job>& job) {
   if (job->left == 0) return nullptr;
   return [this, job] {
     job->gone = true;
@@ -236,8 +238,8 @@
   };
 }
 
-void Front::begin(const std::shared_ptr<Job>& job, Slot slot, const Index& index, const os::Search& search,
-                  const std::string& body, bool counts) {
+void OpenSearchFrontend::begin(const std::shared_ptr<Job>& job, Slot slot, const IndexDefinition& index,
+                               const os::Search& search, const std::string& body, bool counts) {
   // Danger: a thousand searches in one request. Each counts by itself.
   if (book_.is_full()) return job->end(slot, os::pushed_back());
   auto q = std::make_unique<dispatch::Request>();
@@ -259,8 +261,9 @@
   route_.start_request(std::move(q));
 }
 
-std::shared_ptr<Front::Job> Front::job(std::unique_ptr<dispatch::Responder> reply, std::size_t slots,
-                                       std::function<os::Outcome(Job&)> form) {
+std::shared_ptr<OpenSearchFrontend::Job> OpenSearchFrontend::job(std::unique_ptr<dispatch::Responder> reply,
+                                                                 std::size_t slots,
+                                                                 std::function<os::Outcome(Job&)> form) {
   auto job = std::make_shared<Job>();
   job->reply = std::move(reply), job->form = std::move(form);
   job->outcomes.resize(slots), job->open.resize(slots), job->come_back.resize(slots);
@@ -269,13 +272,14 @@
   return job;
 }
 
-std::function<void()> Front::search(const frontend::platform::Asked& asked, const std::string& name,
-                                    bool counts, std::unique_ptr<dispatch::Responder> reply) {
+std::function<void()> OpenSearchFrontend::search(const frontend::platform::ClientRequest& asked,
+                                                 const std::string& name, bool counts,
+                                                 std::unique_ptr<dispatch::Responder> reply) {
   const auto refuse = [&](const os::Fault& f) {
     reply->respond(f.status, "", os::error_body(f), "application/json");
     return nullptr;
   };
-  const Index* index = find(name);
+  const IndexDefinition* index = find(name);
   if (!index) return refuse(no_index(name));
   auto read = os::read_search(asked.body, limits_);
   if (const auto* f = std::get_if<os::Fault>(&read)) return refuse(*f);
@@ -292,8 +296,9 @@
   return leaves(j);
 }
 
-std::function<void()> Front::msearch(const frontend::platform::Asked& asked, const std::string& name,
-                                     std::unique_ptr<dispatch::Responder> reply) {
+std::function<void()> OpenSearchFrontend::msearch(const frontend::platform::ClientRequest& asked,
+                                                  const std::string& name,
+                                                  std::unique_ptr<dispatch::Responder> reply) {
   auto read = os::read_msearch(asked.body, name, limits_);
   if (const auto* f = std::get_if<os::Fault>(&read))
     return reply->respond(f->status, "", os::error_body(*f), "application/json"), nullptr;
@@ -312,7 +317,7 @@
   // One that ends at once must not make the last of those not yet begun: all are counted first.
   for (Slot i = 0; i < items.size(); ++i) {
     const auto* s = std::get_if<os::Search>(&items[i].search);
-    const Index* index = find(items[i].index);
+    const IndexDefinition* index = find(items[i].index);
     if (!s)
       j->end(i, os::fault(std::get<os::Fault>(items[i].search)));
     else if (!index)
@@ -325,8 +330,9 @@
 
 // Where a document stands isn't known, so every block is asked; found nowhere means so only if all of them
 // answered.
-std::function<void()> Front::mget(const frontend::platform::Asked& asked, const std::string& name,
-                                  std::unique_ptr<dispatch::Responder> reply) {
+std::function<void()> OpenSearchFrontend::mget(const frontend::platform::ClientRequest& asked,
+                                               const std::string& name,
+                                               std::unique_ptr<dispatch::Responder> reply) {
   auto read = os::read_mget(asked.body, name, limits_);
   if (const auto* f = std::get_if<os::Fault>(&read))
     return reply->respond(f->status, "", os::error_body(*f), "application/json"), nullptr;
@@ -370,7 +376,7 @@
   j->keeps_hits = true;
   for (Slot i = 0; i < names.size(); ++i) {
     const auto& ids = by_index[names[i]];
-    const Index* index = find(names[i]);
+    const IndexDefinition* index = find(names[i]);
     if (!index) {
       j->end(i, os::fault(no_index(names[i])));
       continue;
@@ -383,12 +389,12 @@
   return leaves(j);
 }
 
-os::Outcome Front::health() const {
+os::Outcome OpenSearchFrontend::health() const {
   int held = 0, blocks = 0;
   bool all = true, full = true;
-  for (const Index& i : indices_)
+  for (const IndexDefinition& i : indices_)
     for (int b = 0; b < i.blocks; ++b) {
-      const std::size_t n = around_.holders(i.first + b).size();
+      const std::size_t n = around_.replica_names(i.first + b).size();
       ++blocks, held += n > 0;
       all = all && n > 0, full = full && n > 1;
     }
@@ -398,19 +404,19 @@
                                 : full ? "green"
                                        : "yellow"},
                      {"timed_out", false},
-                     {"number_of_nodes", around_.nodes()},
-                     {"number_of_data_nodes", around_.nodes()},
+                     {"number_of_nodes", around_.ready_count()},
+                     {"number_of_data_nodes", around_.ready_count()},
                      {"active_primary_shards", held},
                      {"unassigned_shards", blocks - held},
                      {"active_shards_percent_as_number", percent}})};
 }
 
-std::string Front::cat_shards(const std::string& name) const {
+std::string OpenSearchFrontend::cat_shards(const std::string& name) const {
   std::string out;
-  for (const Index& i : indices_) {
+  for (const IndexDefinition& i : indices_) {
     if (!name.empty() && name != i.name) continue;
     for (int b = 0; b < i.blocks; ++b) {
-      const auto holders = around_.holders(i.first + b);
+      const auto holders = around_.replica_names(i.first + b);
       const std::string head = i.name + " " + std::to_string(b) + " ";
       for (const std::string& h : holders) out += head + "STARTED " + h + "\n";
       if (holders.empty()) out += head + "UNASSIGNED -\n";
--- a/src/frontend/opensearch/opensearch_frontend.h
+++ b/src/frontend/opensearch/opensearch_frontend.h
@@ -14,7 +14,7 @@
 namespace cairnhub::frontend::opensearch {
 
 // As the operators declare it.
-struct Index {
+struct IndexDefinition {
   std::string name;
   int first = 0, blocks = 1;  // the shards first .. first + blocks - 1
   int op_type = 0;
@@ -22,47 +22,48 @@
 };
 
 // What the front needs to know of the surroundings.
-class Surroundings {
+class EndpointView {
  public:
-  virtual ~Surroundings() = default;
-  virtual std::string node_name(EndpointId id) const = 0;         // empty where it isn't known any more
-  virtual std::vector<std::string> holders(int block) const = 0;  // names of ready nodes
-  virtual int nodes() const = 0;                                  // ready ones
+  virtual ~EndpointView() = default;
+  virtual std::string endpoint_name(EndpointId id) const = 0;           // empty where it isn't known any more
+  virtual std::vector<std::string> replica_names(int block) const = 0;  // names of ready nodes
+  virtual int ready_count() const = 0;                                  // ready ones
 };
 
-class Front : public frontend::Front {
+class OpenSearchFrontend : public Frontend {
  public:
-  Front(std::vector<Index> indices, const cairnhub::opensearch::Limits& limits,
-        dispatch::InFlightRequests& book, dispatch::RequestDispatcher& route, const Surroundings& around);
-  bool takes(std::string_view path) const override;
-  std::function<void()> take(const frontend::platform::Asked& asked,
-                             std::unique_ptr<dispatch::Responder> reply) override;
+  OpenSearchFrontend(std::vector<IndexDefinition> indices, const cairnhub::opensearch::Limits& limits,
+                     dispatch::InFlightRequests& book, dispatch::RequestDispatcher& route,
+                     const EndpointView& around);
+  bool handles(std::string_view path) const override;
+  std::function<void()> handle(const frontend::platform::ClientRequest& asked,
+                               std::unique_ptr<dispatch::Responder> reply) override;
 
  private:
   struct Job;
   class Ask;
   using Slot = std::size_t;
 
-  std::function<void()> search(const frontend::platform::Asked& asked, const std::string& index, bool counts,
-                               std::unique_ptr<dispatch::Responder> reply);
-  std::function<void()> msearch(const frontend::platform::Asked& asked, const std::string& index,
+  std::function<void()> search(const frontend::platform::ClientRequest& asked, const std::string& index,
+                               bool counts, std::unique_ptr<dispatch::Responder> reply);
+  std::function<void()> msearch(const frontend::platform::ClientRequest& asked, const std::string& index,
                                 std::unique_ptr<dispatch::Responder> reply);
-  std::function<void()> mget(const frontend::platform::Asked& asked, const std::string& index,
+  std::function<void()> mget(const frontend::platform::ClientRequest& asked, const std::string& index,
                              std::unique_ptr<dispatch::Responder> reply);
   cairnhub::opensearch::Outcome health() const;
   std::string cat_shards(const std::string& index) const;
-  const Index* find(const std::string& name) const;
-  void begin(const std::shared_ptr<Job>& job, Slot slot, const Index& index,
+  const IndexDefinition* find(const std::string& name) const;
+  void begin(const std::shared_ptr<Job>& job, Slot slot, const IndexDefinition& index,
              const cairnhub::opensearch::Search& search, const std::string& body, bool counts);
   static std::shared_ptr<Job> job(std::unique_ptr<dispatch::Responder> reply, std::size_t slots,
                                   std::function<cairnhub::opensearch::Outcome(Job&)> form);
   std::function<void()> leaves(const std::shared_ptr<Job>& job);
 
-  std::vector<Index> indices_;
+  std::vector<IndexDefinition> indices_;
   cairnhub::opensearch::Limits limits_;
   dispatch::InFlightRequests& book_;
   dispatch::RequestDispatcher& route_;
-  const Surroundings& around_;
+  const EndpointView& around_;
   std::uint64_t asked_ = 0;
 };
 
--- a/src/frontend/platform/request_parser.cpp
+++ b/src/frontend/platform/request_parser.cpp
@@ -33,8 +33,8 @@
 
 }  // namespace
 
-Admit::Admit(const settings::Settings& s, dispatch::InFlightRequests& book,
-             dispatch::RequestDispatcher& route)
+RequestParser::RequestParser(const settings::Settings& s, dispatch::InFlightRequests& book,
+                             dispatch::RequestDispatcher& route)
     : shards_(s.whole("family-info.ranges")), book_(book), route_(route) {
   for (int i = 0; i < s.whole("classes.count"); ++i) {
     const std::string at = "classes." + std::to_string(i) + ".";
@@ -42,38 +42,39 @@
   }
 }
 
-RequestId Admit::take(const Asked& asked, std::unique_ptr<dispatch::Responder> reply) {
+RequestId RequestParser::start_request(const ClientRequest& asked,
+                                       std::unique_ptr<dispatch::Responder> reply) {
   auto query = std::make_unique<dispatch::Request>();
   if (const char* wrong = read(asked, *query)) {
     reply->respond(status_of(wrong), "", std::string(wrong) + "\n");
     return 0;
   }
-  if (full()) {
+  if (is_full()) {
     reply->respond(503, "", "too many in hand\n");
     return 0;
   }
-  query->callbacks = client(std::move(reply));
+  query->callbacks = make_request_callbacks(std::move(reply));
   const RequestId id = book_.next_id();
   route_.start_request(std::move(query));
   return id;
 }
 
-int Admit::status_of(const char* wrong) {
+int RequestParser::status_of(const char* wrong) {
   if (wrong == kNoSuchOpType) return 404;
   return wrong == kTimeIsUp ? 503 : 400;
 }
 
-const char* Admit::read(const Asked& asked, dispatch::Request& q) const {
-  if (const char* wrong = read_head(asked, q)) return wrong;
+const char* RequestParser::read(const ClientRequest& asked, dispatch::Request& q) const {
+  if (const char* wrong = parse_head(asked, q)) return wrong;
   const auto json = nlohmann::json::parse(asked.body, nullptr, false);
   if (!json.is_object()) return "the body is not a JSON object";
   const auto text = json.find("body");
   if (text == json.end() || !text->is_string()) return "body is missing or not text";
   q.body = text->get<std::string>();
-  return read_parts(json, q);
+  return parse_shard_requests(json, q);
 }
 
-const char* Admit::read_head(const Asked& asked, dispatch::Request& q) const {
+const char* RequestParser::parse_head(const ClientRequest& asked, dispatch::Request& q) const {
   const auto op = op_types_.find(std::string(asked.op_type));
   if (op == op_types_.end()) return kNoSuchOpType;
   if (!asked.op_type_said || asked.op_type != asked.op_type_said)
@@ -94,7 +95,7 @@
   return nullptr;
 }
 
-const char* Admit::read_parts(const nlohmann::json& body, dispatch::Request& q) const {
+const char* RequestParser::parse_shard_requests(const nlohmann::json& body, dispatch::Request& q) const {
   const auto parts = body.find("buckets");
   if (parts == body.end() || !parts->is_array() || parts->empty())
     return "buckets is missing or not a list of parts";
--- a/src/frontend/platform/request_parser.h
+++ b/src/frontend/platform/request_parser.h
@@ -12,7 +12,7 @@
 namespace cairnhub::frontend::platform {
 
 // What a client asked, as its protocol brought it. Null: it didn't say.
-struct Asked {
+struct ClientRequest {
   std::string_view op_type;  // where it asked
   const char *name, *op_type_said, *time_left, *retry;
   std::string_view body;
@@ -20,18 +20,19 @@
   Time waited = 0;  // since its last byte came: unread, or behind other requests of its connection
 };
 
-class Admit {
+class RequestParser {
  public:
-  Admit(const settings::Settings& s, dispatch::InFlightRequests& book, dispatch::RequestDispatcher& route);
+  RequestParser(const settings::Settings& s, dispatch::InFlightRequests& book,
+                dispatch::RequestDispatcher& route);
 
   // Takes it, and returns its id; or refuses it with a plain answer, and returns 0.
-  RequestId take(const Asked& asked, std::unique_ptr<dispatch::Responder> reply);
+  RequestId start_request(const ClientRequest& asked, std::unique_ptr<dispatch::Responder> reply);
 
   // For fronts of other forms: what is wrong, or null.
-  const char* read_head(const Asked& asked, dispatch::Request& into) const;  // all but the body
-  const char* read_parts(const nlohmann::json& body, dispatch::Request& into) const;
-  bool full() const { return book_.is_full(); }
-  // The HTTP status that says so of what read_head or read_parts found wrong.
+  const char* parse_head(const ClientRequest& asked, dispatch::Request& into) const;  // all but the body
+  const char* parse_shard_requests(const nlohmann::json& body, dispatch::Request& into) const;
+  bool is_full() const { return book_.is_full(); }
+  // The HTTP status that says so of what parse_head or parse_shard_requests found wrong.
   static int status_of(const char* wrong);
 
  private:
@@ -39,7 +40,7 @@
     int index;
     Time route_timeout;
   };
-  const char* read(const Asked& asked, dispatch::Request& into) const;
+  const char* read(const ClientRequest& asked, dispatch::Request& into) const;
 
   std::unordered_map<std::string, OpRead> op_types_;
   int shards_;
--- a/src/frontend/platform/response_writer.cpp
+++ b/src/frontend/platform/response_writer.cpp
@@ -38,7 +38,7 @@
     reply_->respond(200, "", body + "]}");
   }
   void on_rejected(const dispatch::Request&, Time come_back) override {
-    reply_->respond(503, come_back_text(come_back), "not now; trying again is harmless\n");
+    reply_->respond(503, retry_after_text(come_back), "not now; trying again is harmless\n");
   }
   void on_failed(const dispatch::Request&) override {
     reply_->respond(500, "", "given up; it may have taken effect\n");
@@ -50,11 +50,12 @@
 
 }  // namespace
 
-std::unique_ptr<dispatch::RequestCallbacks> client(std::unique_ptr<dispatch::Responder> reply) {
+std::unique_ptr<dispatch::RequestCallbacks> make_request_callbacks(
+    std::unique_ptr<dispatch::Responder> reply) {
   return std::make_unique<PlatformClient>(std::move(reply));
 }
 
-std::string come_back_text(Time come_back) {
+std::string retry_after_text(Time come_back) {
   char text[32] = "";
   if (come_back > 0) std::snprintf(text, sizeof text, "%.3f", seconds(come_back));
   return text;
--- a/src/frontend/platform/response_writer.h
+++ b/src/frontend/platform/response_writer.h
@@ -8,8 +8,9 @@
 
 namespace cairnhub::frontend::platform {
 
-std::unique_ptr<dispatch::RequestCallbacks> client(std::unique_ptr<dispatch::Responder> reply);
+std::unique_ptr<dispatch::RequestCallbacks> make_request_callbacks(
+    std::unique_ptr<dispatch::Responder> reply);
 
-std::string come_back_text(Time come_back);  // seconds; empty where there is no advice
+std::string retry_after_text(Time come_back);  // seconds; empty where there is no advice
 
 }  // namespace cairnhub::frontend::platform
--- a/src/frontend/two_phase/two_phase_frontend.cpp
+++ b/src/frontend/two_phase/two_phase_frontend.cpp
@@ -44,7 +44,7 @@
     reply_->respond(200, "", body + "]}");
   }
   void on_rejected(Time come_back) override {
-    reply_->respond(503, frontend::platform::come_back_text(come_back),
+    reply_->respond(503, frontend::platform::retry_after_text(come_back),
                     "not now; trying again is harmless\n");
   }
 
@@ -61,8 +61,8 @@
 
 }  // namespace
 
-std::string read_body(std::string_view text, const frontend::platform::Admit& admit, dispatch::Request& parts,
-                      cairnhub::two_phase::Query& into) {
+std::string parse_body(std::string_view text, const frontend::platform::RequestParser& admit,
+                       dispatch::Request& parts, cairnhub::two_phase::Query& into) {
   const auto body = nlohmann::json::parse(text, nullptr, false);
   if (!body.is_object()) return "the body is not a JSON object";
   bool asks = false;
@@ -83,27 +83,27 @@
     }
   }
   if (!asks) return "query is missing";
-  if (const char* wrong = admit.read_parts(body, parts)) return wrong;
+  if (const char* wrong = admit.parse_shard_requests(body, parts)) return wrong;
   for (const auto& p : parts.shard_requests) into.blocks.push_back({p->shard, p->weight});
   return "";
 }
 
-std::function<void()> Front::take(const frontend::platform::Asked& said,
-                                  std::unique_ptr<dispatch::Responder> reply) {
-  frontend::platform::Asked asked = said;
+std::function<void()> TwoPhaseFrontend::handle(const frontend::platform::ClientRequest& said,
+                                               std::unique_ptr<dispatch::Responder> reply) {
+  frontend::platform::ClientRequest asked = said;
   asked.op_type = said.path.substr(kPath.size());
   if (said.method != "POST") return reply->respond(405, "", "only POST here\n"), nullptr;
   dispatch::Request head;
   cairnhub::two_phase::Query query;
-  if (const char* wrong = admit_.read_head(asked, head)) {
-    reply->respond(frontend::platform::Admit::status_of(wrong), "", std::string(wrong) + "\n");
+  if (const char* wrong = admit_.parse_head(asked, head)) {
+    reply->respond(frontend::platform::RequestParser::status_of(wrong), "", std::string(wrong) + "\n");
   } else if (!phased_.is_allowed(head.request_class)) {
     reply->respond(403, "", "two-phase multigets of this op type are not allowed\n");
   } else if (phased_.contains(head.name)) {
     reply->respond(400, "", "X-Txn is that of a request in hand\n");
-  } else if (const std::string wrong = read_body(asked.body, admit_, head, query); !wrong.empty()) {
+  } else if (const std::string wrong = parse_body(asked.body, admit_, head, query); !wrong.empty()) {
     reply->respond(400, "", wrong + "\n");
-  } else if (admit_.full()) {
+  } else if (admit_.is_full()) {
     reply->respond(503, "", "too many in hand\n");
   } else {
     query.left = head.time_left;
--- a/src/frontend/two_phase/two_phase_frontend.h
+++ b/src/frontend/two_phase/two_phase_frontend.h
@@ -6,22 +6,22 @@
 
 namespace cairnhub::frontend::two_phase {
 
-class Front : public frontend::Front {
+class TwoPhaseFrontend : public Frontend {
  public:
-  Front(frontend::platform::Admit& admit, dispatch::TwoPhaseRunner& phased)
+  TwoPhaseFrontend(frontend::platform::RequestParser& admit, dispatch::TwoPhaseRunner& phased)
       : admit_(admit), phased_(phased) {}
-  bool takes(std::string_view path) const override { return path.rfind(kPath, 0) == 0; }
-  std::function<void()> take(const frontend::platform::Asked& asked,
-                             std::unique_ptr<dispatch::Responder> reply) override;
+  bool handles(std::string_view path) const override { return path.rfind(kPath, 0) == 0; }
+  std::function<void()> handle(const frontend::platform::ClientRequest& asked,
+                               std::unique_ptr<dispatch::Responder> reply) override;
 
  private:
   static constexpr std::string_view kPath = "/_two-phase/";
-  frontend::platform::Admit& admit_;
+  frontend::platform::RequestParser& admit_;
   dispatch::TwoPhaseRunner& phased_;
 };
 
 // What is wrong with a request's body, or empty. Every member must be known, and of its kind.
-std::string read_body(std::string_view body, const frontend::platform::Admit& admit, dispatch::Request& parts,
-                      cairnhub::two_phase::Query& into);
+std::string parse_body(std::string_view body, const frontend::platform::RequestParser& admit,
+                       dispatch::Request& parts, cairnhub::two_phase::Query& into);
 
 }  // namespace cairnhub::frontend::two_phase
--- a/src/server/broker.cpp
+++ b/src/server/broker.cpp
@@ -79,9 +79,9 @@
   dispatch::RequestDispatcher dispatcher;
   dispatch::TwoPhaseRunner two_phase_runner;
   dispatch::EndpointRegistry registry;
-  frontend::platform::Admit request_parser;
+  frontend::platform::RequestParser request_parser;
   dispatch::DiscoveryWatch watch;
-  frontend::TakeIn http_server;
+  frontend::HttpServer http_server;
   dispatch::Config config;  // in force
   std::function<void()> done;
   Timer shutdown_timer;
@@ -127,7 +127,7 @@
               std::min(kMaxListBytes, initial.memory_bytes / kListMemoryDivisor), registry,
               [this](bool is_updated) {
                 if (!is_updated) policy.list_failed(now());
-                if (registry.ready_count() > 0) http_server.can_serve();
+                if (registry.ready_count() > 0) http_server.set_can_serve();
                 dispatcher.run_actions();
               }),
         http_server(base, initial.listen_address, accept_limit(initial),
@@ -136,7 +136,7 @@
         config(initial),
         shutdown_timer(base, [this] { continue_shutdown(); }) {
     settings::apply(initial.settings, policy);
-    dispatcher.set_departure_check([this] { http_server.tell_departures(); });
+    dispatcher.set_departure_check([this] { http_server.abandon_departed(); });
     backends.set_before_write([this] {
       dispatcher.refresh_cluster_rules();
       dispatcher.check_departures();
@@ -186,7 +186,7 @@
         log("discovery", "the endpoint list in the configuration is not used: %s", fault);
       }
     }
-    if (registry.ready_count() > 0) http_server.can_serve();
+    if (registry.ready_count() > 0) http_server.set_can_serve();
     dispatcher.run_actions();
     watch.request_list();
   }
@@ -232,7 +232,7 @@
       return shutdown_timer.start(0);
     }
     if (!std::exchange(has_stopped_accepting, true)) http_server.stop_accepting();
-    if (requests.count() > 0 || !http_server.quiet()) return shutdown_timer.start(kShutdownPollInterval);
+    if (requests.count() > 0 || !http_server.is_idle()) return shutdown_timer.start(kShutdownPollInterval);
     done();
   }
 };
@@ -241,7 +241,7 @@
     : parts_(std::make_unique<Parts>(base, config, options)) {}
 Broker::~Broker() = default;
 
-frontend::platform::Admit& Broker::request_parser() { return parts_->request_parser; }
+frontend::platform::RequestParser& Broker::request_parser() { return parts_->request_parser; }
 
 dispatch::TwoPhaseRunner& Broker::two_phase_runner() { return parts_->two_phase_runner; }
 
@@ -251,7 +251,7 @@
 
 const dispatch::EndpointRegistry& Broker::endpoints() const { return parts_->registry; }
 
-void Broker::add_frontend(frontend::Front& frontend) { parts_->http_server.add(frontend); }
+void Broker::add_frontend(frontend::Frontend& frontend) { parts_->http_server.add_frontend(frontend); }
 
 void Broker::refresh_endpoint_list() { parts_->watch.refresh(); }
 
@@ -264,7 +264,7 @@
   return 0;
 }
 
-void Broker::set_not_ready() { parts_->http_server.not_ready(); }
+void Broker::set_not_ready() { parts_->http_server.set_not_ready(); }
 
 void Broker::apply_config(const dispatch::Config& config) {
   dispatch::Config& current = parts_->config;
@@ -288,7 +288,7 @@
 void Broker::shut_down(std::function<void()> done) {
   if (parts_->done) return;
   parts_->done = std::move(done);
-  parts_->http_server.last_answers();
+  parts_->http_server.close_after_responses();
   parts_->shutdown_timer.start(kShutdownGracePeriod);
 }
 
--- a/src/server/broker.h
+++ b/src/server/broker.h
@@ -19,11 +19,11 @@
 }  // namespace cairnhub::dispatch
 
 namespace cairnhub::frontend {
-class Front;
+class Frontend;
 }  // namespace cairnhub::frontend
 
 namespace cairnhub::frontend::platform {
-class Admit;
+class RequestParser;
 }  // namespace cairnhub::frontend::platform
 
 namespace cairnhub::server {
@@ -52,12 +52,12 @@
   ~Broker();
 
   // The parts that further frontends need. A frontend that is added must outlive the event loop.
-  frontend::platform::Admit& request_parser();
+  frontend::platform::RequestParser& request_parser();
   dispatch::TwoPhaseRunner& two_phase_runner();
   dispatch::InFlightRequests& in_flight_requests();
   dispatch::RequestDispatcher& dispatcher();
   const dispatch::EndpointRegistry& endpoints() const;
-  void add_frontend(frontend::Front& frontend);
+  void add_frontend(frontend::Frontend& frontend);
 
   // Requests the complete endpoint list at once.
   void refresh_endpoint_list();
--- a/tests/mangled.cpp
+++ b/tests/mangled.cpp
@@ -95,15 +95,15 @@
         base, {32, 1, kSecond, kSecond, 8}, [](Attempt&, const AttemptResult&) {}, [] {});
     RequestDispatcher route(
         base, d, book, sender, [](EndpointId) {}, [] { return false; });
-    frontend::platform::Admit admit(s, book, route);
+    frontend::platform::RequestParser parser(s, book, route);
     int n = 0;
     tried("request",
           "{\"buckets\":[{\"bucket\":3,\"part\":0.5,\"effort\":9000},{\"bucket\":9,\"part\":0.5}],\"body\":"
           "\"c4\"}",
           5000, [&](const std::string& b) {
             const std::string name = "m" + std::to_string(++n);
-            return admit.take({"all", name.c_str(), "all", "0.480", nullptr, b},
-                              std::make_unique<Silent>()) != 0;
+            return parser.start_request({"all", name.c_str(), "all", "0.480", nullptr, b},
+                                        std::make_unique<Silent>()) != 0;
           });
   }
   event_base_free(base);
