--- a/src/frontend/http/arrival_times.cpp
+++ b/src/frontend/http/arrival_times.cpp
@@ -7,30 +7,30 @@
 
 namespace {
 
-// Reads closer together share a mark. Danger: a client that writes byte by byte would fill the memory with
-// marks.
+// Reads closer together share an entry, so that a client that writes byte by byte can't exhaust the memory.
 constexpr Time kResolution = kSecond / 1000;
 
 }  // namespace
 
-void ArrivalTimes::read(std::size_t bytes, Time at) {
-  const std::optional<Time> seen = std::exchange(unread_since_, std::nullopt);
-  const Time came = seen ? std::min(*seen, at) : at;
-  total_ += bytes;
-  if (!marks_.empty() && came - marks_.back().at < kResolution)
-    marks_.back().upto = total_;
-  else
-    marks_.push_back({total_, came});
+void ArrivalTimes::record_read(std::size_t bytes, Time at) {
+  const std::optional<Time> unread_since = std::exchange(unread_since_, std::nullopt);
+  const Time arrived_at = unread_since ? std::min(*unread_since, at) : at;
+  total_bytes_ += bytes;
+  if (!arrivals_.empty() && arrived_at - arrivals_.back().at < kResolution) {
+    arrivals_.back().end_offset = total_bytes_;
+  } else {
+    arrivals_.push_back({total_bytes_, arrived_at});
+  }
 }
 
-void ArrivalTimes::seen_unread(Time at) {
+void ArrivalTimes::record_unread(Time at) {
   if (!unread_since_) unread_since_ = at;
 }
 
-Time ArrivalTimes::last_taken(std::size_t buffered, Time now) {
-  const std::uint64_t taken = total_ - std::min<std::uint64_t>(buffered, total_);
-  while (!marks_.empty() && marks_.front().upto < taken) marks_.pop_front();
-  return marks_.empty() || taken == 0 ? now : marks_.front().at;
+Time ArrivalTimes::last_consumed_at(std::size_t buffered_bytes, Time now) {
+  const std::uint64_t consumed = total_bytes_ - std::min<std::uint64_t>(buffered_bytes, total_bytes_);
+  while (!arrivals_.empty() && arrivals_.front().end_offset < consumed) arrivals_.pop_front();
+  return arrivals_.empty() || consumed == 0 ? now : arrivals_.front().at;
 }
 
 }  // namespace cairnhub::frontend
--- a/src/frontend/http/arrival_times.h
+++ b/src/frontend/http/arrival_times.h
@@ -1,5 +1,5 @@
-// When the bytes of one connection came, so that a request that waited behind another one knows how long. No
-// I/O.
+// Arrival times of the bytes of one connection, from which the time that a pipelined request has waited is
+// computed. No I/O.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -12,21 +12,22 @@
 
 class ArrivalTimes {
  public:
-  // Bytes were read into the connection's buffer.
-  void read(std::size_t bytes, Time at);
-  // Unread bytes were seen at the socket while nothing is read: the next ones read count as come by then.
-  void seen_unread(Time at);
-  // When the last of the bytes taken out of the buffer so far had come; `buffered` bytes are still in it.
-  // Forgets what came before.
-  Time last_taken(std::size_t buffered, Time now);
+  // Records bytes that were read into the connection's buffer.
+  void record_read(std::size_t bytes, Time at);
+  // Records that the socket holds unread bytes while reading is suspended: the bytes read next count as
+  // arrived at that time.
+  void record_unread(Time at);
+  // @param buffered_bytes that are still in the buffer
+  // @return when the last byte that has left the buffer arrived. Earlier arrivals are forgotten.
+  Time last_consumed_at(std::size_t buffered_bytes, Time now);
 
  private:
-  struct Mark {
-    std::uint64_t upto;  // of the connection's bytes, counted from its beginning
+  struct Arrival {
+    std::uint64_t end_offset;  // in the connection's bytes
     Time at;
   };
-  std::deque<Mark> marks_;
-  std::uint64_t total_ = 0;
+  std::deque<Arrival> arrivals_;
+  std::uint64_t total_bytes_ = 0;
   std::optional<Time> unread_since_;
 };
 
--- a/src/frontend/http/http_server.cpp
+++ b/src/frontend/http/http_server.cpp
@@ -22,120 +22,134 @@
 
 namespace {
 
-constexpr std::size_t kLargestHeaders = 16384, kLargestBody = 65536;
-// What may wait unread by the parser: a whole body, or a chunk with its length.
-constexpr std::size_t kInputMost = kLargestBody + kLargestHeaders;
-// A connection on which nothing moves is closed after so long, whatever it's at.
-constexpr int kStillSeconds = 10;
-// From connecting to the first whole request, and from the first byte to the last of any other.
-constexpr Time kWholeWithin = 2400 * kSecond / 1000;
-// While accepting pauses: how long one may say nothing after it connected.
-constexpr Time kSilentPaused = 250 * kSecond / 1000;
-constexpr Time kSweepEvery = 50 * kSecond / 1000;
-// A client that left is heard of within 0.1 s; one that wrote ahead of its time has to be looked at for that.
-constexpr Time kEarlyBytesCheckEvery = 20 * kSecond / 1000;
-// While the process shuts down: how long a connection that said nothing may still say something, and how long
-// requests that follow each other without a gap are answered before their connection is closed all the same.
-constexpr Time kSilentClosing = 250 * kSecond / 1000, kPipelineClosing = kSecond;
-
-int socket_of(evhttp_connection* c) { return bufferevent_getfd(evhttp_connection_get_bufferevent(c)); }
-std::size_t input_length(evhttp_connection* c) {
-  return evbuffer_get_length(bufferevent_get_input(evhttp_connection_get_bufferevent(c)));
+constexpr std::size_t kMaxHeaderBytes = 16384;
+constexpr std::size_t kMaxBodyBytes = 65536;
+// The most that is buffered before the parser consumes it: a whole body, or a chunk with its length.
+constexpr std::size_t kMaxInputBytes = kMaxBodyBytes + kMaxHeaderBytes;
+// A connection without any traffic is closed after this time, whatever its state.
+constexpr int kInactivityTimeoutSeconds = 10;
+// From accepting to the first complete request, and from the first byte to the last of any later one.
+constexpr Time kRequestReadTimeout = 2400 * kSecond / 1000;
+// From accepting to the first byte, while accepting is paused.
+constexpr Time kFirstByteTimeoutPaused = 250 * kSecond / 1000;
+constexpr Time kSweepInterval = 50 * kSecond / 1000;
+// A disconnection must be noticed within 0.1 s. No event reports it behind early bytes, so it is polled for.
+constexpr Time kEarlyBytesCheckInterval = 20 * kSecond / 1000;
+// While the process shuts down: from accepting to the first byte.
+constexpr Time kFirstByteTimeoutClosing = 250 * kSecond / 1000;
+// While the process shuts down: how long pipelined requests are answered before their connection is closed
+// regardless.
+constexpr Time kPipelineTimeoutClosing = kSecond;
+
+int socket_of(evhttp_connection* connection) {
+  return bufferevent_getfd(evhttp_connection_get_bufferevent(connection));
 }
-std::size_t output_length(evhttp_connection* c) {
-  return evbuffer_get_length(bufferevent_get_output(evhttp_connection_get_bufferevent(c)));
+std::size_t input_length(evhttp_connection* connection) {
+  return evbuffer_get_length(bufferevent_get_input(evhttp_connection_get_bufferevent(connection)));
 }
-int unread(evhttp_connection* c) {
+std::size_t output_length(evhttp_connection* connection) {
+  return evbuffer_get_length(bufferevent_get_output(evhttp_connection_get_bufferevent(connection)));
+}
+int unread_bytes(evhttp_connection* connection) {
   int bytes = 0;
-  ioctl(socket_of(c), FIONREAD, &bytes);
+  ioctl(socket_of(connection), FIONREAD, &bytes);
   return bytes;
 }
-// Bytes wait at the socket that the next turn of the loop reads. Danger: closed over them, the connection is
-// reset, and the request they end is lost.
-bool about_to_read(evhttp_connection* c) { return unread(c) > 0 && input_length(c) < kInputMost; }
-// What is wrong with the way a request says where it ends, or null. Danger: another request hidden in the
-// body of one that two readers would end at different places.
-const char* framing(evhttp_request* r) {
-  const char *length = nullptr, *coding = nullptr;
-  const evkeyvalq* headers = evhttp_request_get_input_headers(r);
-  for (const evkeyval* h = headers->tqh_first; h; h = h->next.tqe_next) {
-    for (const char* c = h->key; *c; ++c)
+// Whether the socket holds bytes that the next turn of the loop reads. Closing the connection over them would
+// reset it and lose the request that they complete.
+bool is_about_to_read(evhttp_connection* connection) {
+  return unread_bytes(connection) > 0 && input_length(connection) < kMaxInputBytes;
+}
+// Checks the headers that delimit the request's body. Where two readers could find its end at different
+// places, another request could be smuggled in the body.
+// @return what is wrong, or null
+const char* find_framing_error(evhttp_request* request) {
+  const char* length = nullptr;
+  const char* coding = nullptr;
+  const evkeyvalq* headers = evhttp_request_get_input_headers(request);
+  for (const evkeyval* header = headers->tqh_first; header; header = header->next.tqe_next) {
+    for (const char* c = header->key; *c; ++c) {
       if (*c <= ' ' || *c > '~') return "a header's name is no word";
-    const bool is_length = evutil_ascii_strcasecmp(h->key, "Content-Length") == 0;
-    if (!is_length && evutil_ascii_strcasecmp(h->key, "Transfer-Encoding") != 0) continue;
-    if (std::exchange(is_length ? length : coding, h->value)) return "its length is stated twice";
+    }
+    const bool is_length = evutil_ascii_strcasecmp(header->key, "Content-Length") == 0;
+    if (!is_length && evutil_ascii_strcasecmp(header->key, "Transfer-Encoding") != 0) continue;
+    if (std::exchange(is_length ? length : coding, header->value)) return "its length is stated twice";
   }
   if (length && coding) return "its length is stated twice";
-  if (length && (!*length || length[std::strspn(length, "0123456789")]))
+  if (length && (!*length || length[std::strspn(length, "0123456789")])) {
     return "Content-Length is not a number";
+  }
   if (coding && evutil_ascii_strcasecmp(coding, "chunked") != 0) return "Transfer-Encoding is not chunked";
-  if ((length || coding) && evhttp_request_get_command(r) != EVHTTP_REQ_POST) return "only a POST has a body";
+  if ((length || coding) && evhttp_request_get_command(request) != EVHTTP_REQ_POST) {
+    return "only a POST has a body";
+  }
   return nullptr;
 }
 
 }  // namespace
 
-// A connection, from its acceptance on.
+// The state of one connection, from its acceptance on.
 struct HttpServer::ClientState {
-  HttpServer* home;
+  HttpServer* server;
   evhttp_connection* connection;
-  event* end = nullptr;               // hears of the client's leaving while its multiget is in hand
-  evhttp_request* request = nullptr;  // in hand
-  Waiting* waiting = nullptr;
-  std::function<void()> leave = {};  // tells that the client has gone; none where nothing is in hand
-  bool has_requested = false;        // a whole request, at some time
-  Time since = now();                // accepted, or last answered
-  Time begun = 0;                    // first byte of a request that isn't whole yet; 0 = none
-  bool early_bytes = false;          // came while a request is in hand, and wait at the socket
-  ArrivalTimes arrivals = {};
-  std::size_t unfinished = 0;  // bytes of requests that aren't whole yet, wherever they are kept
-
-  void count_unfinished(std::size_t bytes) {
-    home->unfinished_ += bytes - unfinished;
-    unfinished = bytes;
+  event* departure = nullptr;         // active while a request is in flight
+  evhttp_request* request = nullptr;  // in flight
+  ConnectionResponder* responder = nullptr;
+  std::function<void()> abandon = {};  // abandons the request in flight; empty where there is none
+  bool has_sent_request = false;       // at least one complete request
+  Time idle_since = now();             // accepted, or last responded to
+  Time request_began_at = 0;           // first byte of an incomplete request; 0: there is none
+  bool has_early_bytes = false;        // unread at the socket while a request is in flight
+  ArrivalTimes arrival_times = {};
+  std::size_t incomplete_bytes = 0;  // of incomplete requests, in whichever buffer
+
+  void set_incomplete_bytes(std::size_t bytes) {
+    server->incomplete_bytes_ += bytes - incomplete_bytes;
+    incomplete_bytes = bytes;
   }
 
   ~ClientState();
-  // Nothing asked, nothing begun, nothing left to write.
-  bool at_rest() const { return !request && !begun && output_length(connection) == 0; }
-  static void on_bytes(evbuffer*, const evbuffer_cb_info* info, void* at) {
+  // Whether there is no request, complete or not, and nothing left to write.
+  bool is_idle() const { return !request && !request_began_at && output_length(connection) == 0; }
+  static void on_bytes(evbuffer*, const evbuffer_cb_info* info, void* context) {
     if (info->n_added == 0) return;
-    ClientState& client = *static_cast<ClientState*>(at);
-    client.count_unfinished(client.unfinished + info->n_added);
-    client.home->sweep_if_too_much();
-    client.arrivals.read(info->n_added, now());
-    if (client.begun == 0) client.begun = now();
+    ClientState& client = *static_cast<ClientState*>(context);
+    client.set_incomplete_bytes(client.incomplete_bytes + info->n_added);
+    client.server->sweep_if_over_limit();
+    client.arrival_times.record_read(info->n_added, now());
+    if (client.request_began_at == 0) client.request_began_at = now();
   }
 };
 
-// The reply that a request waits for.
-class HttpServer::Waiting : public dispatch::Responder {
+// Writes the response to a request in flight; does nothing once its client has disconnected.
+class HttpServer::ConnectionResponder : public dispatch::Responder {
  public:
-  explicit Waiting(ClientState& client) : client_(&client) { client.waiting = this; }
-  ~Waiting() override {
-    if (client_ && client_->waiting == this) client_->waiting = nullptr;
+  explicit ConnectionResponder(ClientState& client) : client_(&client) { client.responder = this; }
+  ~ConnectionResponder() override {
+    if (client_ && client_->responder == this) client_->responder = nullptr;
   }
-  void left() { client_ = nullptr; }
-  void respond(int status, std::string_view come_back, std::string body, const char* type) override {
-    if (!client_) return;  // the client has left
+  void detach() { client_ = nullptr; }
+  void respond(int status, std::string_view retry_after, std::string body,
+               const char* content_type) override {
+    if (!client_) return;  // the client has disconnected
     ClientState& client = *client_;
-    evhttp_request* r = std::exchange(client.request, nullptr);
-    client.leave = nullptr;
-    event_del(client.end);
-    client.early_bytes = false;
-    client.since = now();
-    client.begun = input_length(client.connection) > 0 ? client.since : 0;
-    evkeyvalq* headers = evhttp_request_get_output_headers(r);
+    evhttp_request* request = std::exchange(client.request, nullptr);
+    client.abandon = nullptr;
+    event_del(client.departure);
+    client.has_early_bytes = false;
+    client.idle_since = now();
+    client.request_began_at = input_length(client.connection) > 0 ? client.idle_since : 0;
+    evkeyvalq* headers = evhttp_request_get_output_headers(request);
     evhttp_add_header(headers, "Content-Type",
-                      type            ? type
+                      content_type    ? content_type
                       : status == 200 ? "application/json"
                                       : "text/plain");
-    if (!come_back.empty()) evhttp_add_header(headers, "Retry-After", std::string(come_back).c_str());
-    // Danger: behind a request that can't be used there may be anything.
-    const bool last = client.home->answers_last(client) || (status >= 400 && status < 500);
-    if (last) evhttp_add_header(headers, "Connection", "close");
-    evbuffer_add(evhttp_request_get_output_buffer(r), body.data(), body.size());
-    evhttp_send_reply(r, status, nullptr, nullptr);
+    if (!retry_after.empty()) evhttp_add_header(headers, "Retry-After", std::string(retry_after).c_str());
+    // The bytes that follow an invalid request can't be trusted to begin another one.
+    const bool is_last = client.server->closes_after_response(client) || (status >= 400 && status < 500);
+    if (is_last) evhttp_add_header(headers, "Connection", "close");
+    evbuffer_add(evhttp_request_get_output_buffer(request), body.data(), body.size());
+    evhttp_send_reply(request, status, nullptr, nullptr);
   }
 
  private:
@@ -143,59 +157,61 @@
 };
 
 HttpServer::ClientState::~ClientState() {
-  if (waiting) waiting->left();
-  if (end) event_free(end);
-  count_unfinished(0);
+  if (responder) responder->detach();
+  if (departure) event_free(departure);
+  set_incomplete_bytes(0);
   evbuffer_remove_cb(bufferevent_get_input(evhttp_connection_get_bufferevent(connection)), on_bytes, this);
 }
 
-HttpServer::HttpServer(event_base* base, const std::string& listen, int pause_at, std::size_t most_idle,
-                       std::size_t unfinished_most, platform::RequestParser& admit,
-                       dispatch::RequestDispatcher& route)
+HttpServer::HttpServer(event_base* base, const std::string& listen_address, int pause_at_descriptor,
+                       std::size_t max_idle, std::size_t max_incomplete_bytes,
+                       platform::RequestParser& request_parser, dispatch::RequestDispatcher& dispatcher)
     : base_(base),
-      pause_at_(pause_at),
-      most_idle_(most_idle),
-      unfinished_most_(unfinished_most),
+      pause_at_descriptor_(pause_at_descriptor),
+      max_idle_(max_idle),
+      max_incomplete_bytes_(max_incomplete_bytes),
       sweep_timer_(base, [this] { sweep(); }),
       early_bytes_timer_(base, [this] { check_early_bytes(); }),
-      accept_again_(base,
+      resume_timer_(base,
                     [this] {
-                      if (!closed_ && !paused_) evconnlistener_enable(listener_);
+                      if (!has_stopped_accepting_ && !is_paused_) evconnlistener_enable(listener_);
                     }),
-      admit_(admit),
-      route_(route) {
-  Address at;
-  if (!parse_address(listen, at)) throw std::runtime_error("configuration: listen is not an address");
+      request_parser_(request_parser),
+      dispatcher_(dispatcher) {
+  Address address;
+  if (!parse_address(listen_address, address)) {
+    throw std::runtime_error("configuration: listen is not an address");
+  }
   http_ = evhttp_new(base);
   listener_ = evconnlistener_new_bind(base, nullptr, nullptr, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, 1024,
-                                      reinterpret_cast<sockaddr*>(&at.at), at.length);
-  if (!listener_) throw std::runtime_error("can't listen at " + listen + ": " + std::strerror(errno));
+                                      reinterpret_cast<sockaddr*>(&address.at), address.length);
+  if (!listener_) {
+    throw std::runtime_error("cannot listen at " + listen_address + ": " + std::strerror(errno));
+  }
   evhttp_bind_listener(http_, listener_);
-  // Danger: with no descriptor left an accept fails at once, again and again. The library keeps its own word
-  // with this callback, which is the same for all listeners of the program.
-  accepting_ = this;
-  evconnlistener_set_error_cb(listener_, [](evconnlistener* l, void*) {
-    const int why = errno;
-    guarded("accept", [&] {
-      log("descriptors", "a connection can't be accepted: %s", evutil_socket_error_to_string(why));
-    });
-    evconnlistener_disable(l);
-    if (accepting_) accepting_->accept_again_.start(kSweepEvery);
+  // Without a free descriptor, accept would fail in every turn of the loop. The context that libevent passes
+  // to this callback is evhttp's own, so the server is found through a static member.
+  accepting_server_ = this;
+  evconnlistener_set_error_cb(listener_, [](evconnlistener* listener, void*) {
+    const int error = errno;
+    guarded("accept", [&] { log("descriptors", "accept failed: %s", evutil_socket_error_to_string(error)); });
+    evconnlistener_disable(listener);
+    if (accepting_server_) accepting_server_->resume_timer_.start(kSweepInterval);
   });
-  evhttp_set_max_headers_size(http_, kLargestHeaders);
-  evhttp_set_max_body_size(http_, kLargestBody);
-  evhttp_set_timeout(http_, kStillSeconds);
+  evhttp_set_max_headers_size(http_, kMaxHeaderBytes);
+  evhttp_set_max_body_size(http_, kMaxBodyBytes);
+  evhttp_set_timeout(http_, kInactivityTimeoutSeconds);
   evhttp_set_allowed_methods(http_, 0xffff);
   evhttp_set_bevcb(
       http_,
-      [](event_base* b, void* self) {
-        bufferevent* bev = bufferevent_socket_new(b, -1, BEV_OPT_CLOSE_ON_FREE);
+      [](event_base* base, void* context) {
+        bufferevent* bev = bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE);
         guarded("accept", [&] {
-          auto* t = static_cast<HttpServer*>(self);
-          t->accepted();
+          auto* server = static_cast<HttpServer*>(context);
+          server->update_accepting();
           if (!bev) return;
-          if (t->just_accepted_.empty()) t->sweep_timer_.start(0);
-          t->just_accepted_.push_back(bev);
+          if (server->new_connections_.empty()) server->sweep_timer_.start(0);
+          server->new_connections_.push_back(bev);
           bufferevent_incref(bev);
         });
         return bev;
@@ -203,30 +219,30 @@
       this);
   evhttp_set_gencb(
       http_,
-      [](evhttp_request* r, void* self) {
-        guarded("request", [&] { static_cast<HttpServer*>(self)->request(r); });
+      [](evhttp_request* request, void* context) {
+        guarded("request", [&] { static_cast<HttpServer*>(context)->handle_request(request); });
       },
       this);
 }
 
 HttpServer::~HttpServer() {
-  accepting_ = nullptr;
+  accepting_server_ = nullptr;
   for (auto& [connection, client] : clients_) evhttp_connection_set_closecb(connection, nullptr, nullptr);
   clients_.clear();
-  for (bufferevent* bev : just_accepted_) bufferevent_decref(bev);
+  for (bufferevent* bev : new_connections_) bufferevent_decref(bev);
   evhttp_free(http_);
 }
 
-// Pauses accepting while descriptors run short, so that what is open can be served. The number of a new one
-// tells: the system gives out the lowest free.
-void HttpServer::accepted() {
-  if (closed_) return;
+// Pauses accepting while descriptors run short, so that open connections can be served. The number of the
+// next descriptor shows how many are in use, since the kernel assigns the lowest free one.
+void HttpServer::update_accepting() {
+  if (has_stopped_accepting_) return;
   const int next = dup(evconnlistener_get_fd(listener_));
   if (next >= 0) close(next);
-  const bool paused = next < 0 || next >= pause_at_;
-  if (paused != std::exchange(paused_, paused)) {
-    log("descriptors", paused ? "accepting pauses" : "accepting goes on");
-    paused ? evconnlistener_disable(listener_) : evconnlistener_enable(listener_);
+  const bool is_paused = next < 0 || next >= pause_at_descriptor_;
+  if (is_paused != std::exchange(is_paused_, is_paused)) {
+    log("descriptors", is_paused ? "accepting is paused" : "accepting is resumed");
+    is_paused ? evconnlistener_disable(listener_) : evconnlistener_enable(listener_);
   }
 }
 
@@ -236,259 +252,289 @@
   slot = std::make_unique<ClientState>(ClientState{this, connection});
   evhttp_connection_set_closecb(
       connection,
-      [](evhttp_connection* c, void* self) {
-        guarded("close", [&] { static_cast<HttpServer*>(self)->on_closed(c); });
+      [](evhttp_connection* closed, void* context) {
+        guarded("close", [&] { static_cast<HttpServer*>(context)->on_closed(closed); });
       },
       this);
   bufferevent* bev = evhttp_connection_get_bufferevent(connection);
   send_without_delay(bufferevent_getfd(bev));
-  // Danger: the library's parser waits for the end of a chunk's length without bound. Reading stops here, and
-  // the connection goes when its time for a whole request is up.
-  bufferevent_setwatermark(bev, EV_READ, 0, kInputMost);
+  // evhttp buffers the line with a chunk's length without limit. Reading stops at the watermark, and the
+  // connection is closed when the request's read timeout is over.
+  bufferevent_setwatermark(bev, EV_READ, 0, kMaxInputBytes);
   evbuffer_add_cb(bufferevent_get_input(bev), ClientState::on_bytes, slot.get());
-  if (const std::size_t already = input_length(connection); already > 0) {
-    slot->begun = slot->since;
-    slot->arrivals.read(already, slot->since);
-    slot->count_unfinished(already);
+  if (const std::size_t buffered = input_length(connection); buffered > 0) {
+    slot->request_began_at = slot->idle_since;
+    slot->arrival_times.record_read(buffered, slot->idle_since);
+    slot->set_incomplete_bytes(buffered);
   }
   return *slot;
 }
 
-// Connections that were just accepted get their state, and those that overstay are let go.
+// Gives new connections their state and closes those that have timed out or exceed a limit.
 void HttpServer::sweep() {
-  sweep_due_ = false;
-  for (bufferevent* bev : std::exchange(just_accepted_, {})) {
-    // The library's own word with its callbacks is the connection; it is told of none before the first
-    // request, and most that must be let go make none.
+  is_sweep_due_ = false;
+  for (bufferevent* bev : std::exchange(new_connections_, {})) {
+    // evhttp reports a connection only with its first request, and most of those to close never send one.
+    // Its connection object is the context of its own callbacks.
     void* connection = nullptr;
     bufferevent_getcb(bev, nullptr, nullptr, nullptr, &connection);
     if (connection) client_of(static_cast<evhttp_connection*>(connection));
     bufferevent_decref(bev);
   }
-  accepted();
-  bound_unfinished();
-  close_where([this](const ClientState& client) { return overstays(client); });
-  // Danger: clients that ask once and keep their connection. What lets them in before us counts the idle ones
-  // too, and has none left for others long before our own descriptors run short. Harm: a client whose next
-  // request crosses the close has to send it anew.
+  update_accepting();
+  limit_incomplete_requests();
+  close_where([this](const ClientState& client) { return has_timed_out(client); });
+  // Whatever limits connections in front of the broker counts the idle ones too, and would have none left for
+  // other clients long before descriptors run short here. A client whose next request crosses the close must
+  // send it again.
   std::vector<std::pair<Time, evhttp_connection*>> idle;
-  for (auto& [connection, client] : clients_)
-    if (client->has_requested && client->at_rest()) idle.emplace_back(client->since, connection);
-  if (idle.size() > most_idle_) {  // only now is it worth to look what the system holds unread
-    std::erase_if(idle, [](const auto& i) { return unread(i.second) > 0; });
-    const auto kept = idle.end() - static_cast<std::ptrdiff_t>(std::min(idle.size(), most_idle_));
+  for (auto& [connection, client] : clients_) {
+    if (client->has_sent_request && client->is_idle()) idle.emplace_back(client->idle_since, connection);
+  }
+  if (idle.size() > max_idle_) {  // the sockets are queried only where some must be closed
+    std::erase_if(idle, [](const auto& entry) { return unread_bytes(entry.second) > 0; });
+    const auto kept = idle.end() - static_cast<std::ptrdiff_t>(std::min(idle.size(), max_idle_));
     std::nth_element(idle.begin(), kept, idle.end());
-    for (auto at = idle.begin(); at != kept; ++at) evhttp_connection_free(at->second);  // ends in on_closed()
+    for (auto it = idle.begin(); it != kept; ++it) evhttp_connection_free(it->second);  // calls on_closed()
   }
-  if (!clients_.empty() || paused_) sweep_timer_.start(kSweepEvery);
+  if (!clients_.empty() || is_paused_) sweep_timer_.start(kSweepInterval);
 }
 
-// Danger: clients that connect and say nothing, or half of something, use up the descriptors.
-bool HttpServer::overstays(const ClientState& client) const {
+// Clients that connect and send nothing, or only a part of a request, would exhaust the descriptors.
+bool HttpServer::has_timed_out(const ClientState& client) const {
   if (client.request || output_length(client.connection) > 0) return false;
   const Time at = now();
-  if (closed_ && !client.begun && (client.has_requested || at - client.since > kSilentClosing)) return true;
-  if (!client.has_requested)
-    return at - client.since > (paused_ && !client.begun ? kSilentPaused : kWholeWithin);
-  return client.begun && at - client.begun > kWholeWithin;
+  if (has_stopped_accepting_ && !client.request_began_at &&
+      (client.has_sent_request || at - client.idle_since > kFirstByteTimeoutClosing)) {
+    return true;
+  }
+  if (!client.has_sent_request) {
+    return at - client.idle_since >
+           (is_paused_ && !client.request_began_at ? kFirstByteTimeoutPaused : kRequestReadTimeout);
+  }
+  return client.request_began_at && at - client.request_began_at > kRequestReadTimeout;
 }
 
-// Danger: a timer that is started again in the turn in which it falls due isn't called in that turn; with
-// bytes in each turn, never.
-void HttpServer::sweep_if_too_much() {
-  if (unfinished_ > unfinished_most_ && !std::exchange(sweep_due_, true)) sweep_timer_.start(0);
+// Starts the timer only once: a timer restarted in the turn in which it is due isn't called in that turn, and
+// with bytes arriving in every turn it would never be called.
+void HttpServer::sweep_if_over_limit() {
+  if (incomplete_bytes_ > max_incomplete_bytes_ && !std::exchange(is_sweep_due_, true)) sweep_timer_.start(0);
 }
 
-// Danger: clients that each send nearly a whole body and stop; the memory would go to what nobody will ever
-// ask. Those that hold most go first. Harm: a sound client that writes a large request slowly meanwhile.
-void HttpServer::bound_unfinished() {
-  if (unfinished_ <= unfinished_most_) return;
-  std::vector<std::pair<std::size_t, evhttp_connection*>> holding;
-  for (auto& [connection, client] : clients_)
-    if (!client->request && client->begun) holding.emplace_back(client->unfinished, connection);
-  std::sort(holding.rbegin(), holding.rend());
-  log("clients", "unfinished requests take %zu bytes; the largest are closed", unfinished_);
-  for (const auto& [bytes, connection] : holding) {
-    if (unfinished_ <= unfinished_most_) return;
-    refuse_unfinished(*clients_.at(connection));
-    evhttp_connection_free(connection);  // ends in on_closed()
+// Closes the connections that hold the largest incomplete requests until the rest is within the limit, so
+// that clients that stop before the end of a large body can't exhaust the memory. A client that writes a
+// large request slowly at such a time is closed too.
+void HttpServer::limit_incomplete_requests() {
+  if (incomplete_bytes_ <= max_incomplete_bytes_) return;
+  std::vector<std::pair<std::size_t, evhttp_connection*>> by_size;
+  for (auto& [connection, client] : clients_) {
+    if (!client->request && client->request_began_at) {
+      by_size.emplace_back(client->incomplete_bytes, connection);
+    }
+  }
+  std::sort(by_size.rbegin(), by_size.rend());
+  log("clients", "incomplete requests take %zu bytes, the limit is %zu: closing the largest",
+      incomplete_bytes_, max_incomplete_bytes_);
+  for (const auto& [bytes, connection] : by_size) {
+    if (incomplete_bytes_ <= max_incomplete_bytes_) return;
+    reject_incomplete(*clients_.at(connection));
+    evhttp_connection_free(connection);  // calls on_closed()
   }
 }
 
-// Says why a connection is closed to a client that has begun to ask. Danger: it would take the close for a
-// broker that died with its request. Nothing waits to be written before it, and what the system doesn't take
-// at once is not tried again.
-void HttpServer::refuse_unfinished(const ClientState& client) {
-  if (!client.begun) return;
+// Responds to a client that has sent part of a request before its connection is closed. Without a response
+// the client would assume that the broker failed while it handled the request. No output is pending ahead of
+// the response; what the kernel doesn't accept at once is dropped.
+void HttpServer::reject_incomplete(const ClientState& client) {
+  if (!client.request_began_at) return;
   const std::string body = "the request came too slowly; nothing of it was used";
-  const std::string answer =
+  const std::string response =
       "HTTP/1.1 503 Service Unavailable\r\nContent-Type: text/plain\r\nConnection: "
       "close\r\nContent-Length: " +
       std::to_string(body.size()) + "\r\n\r\n" + body;
   const int fd = socket_of(client.connection);
-  if (send(fd, answer.data(), answer.size(), MSG_DONTWAIT | MSG_NOSIGNAL) < 0)
-    log("clients", "one that wrote too slowly can't be told so: %s", std::strerror(errno));
+  if (send(fd, response.data(), response.size(), MSG_DONTWAIT | MSG_NOSIGNAL) < 0) {
+    log("clients", "the response to an incomplete request was not sent: %s", std::strerror(errno));
+  }
 }
 
-template <class F>
-void HttpServer::close_where(F which) {
-  std::vector<evhttp_connection*> over;
-  for (auto& [connection, client] : clients_)
-    if (which(*client) && !about_to_read(connection)) over.push_back(connection);
-  for (evhttp_connection* c : over) {
-    refuse_unfinished(*clients_.at(c));
-    evhttp_connection_free(c);  // ends in on_closed()
+template <class Predicate>
+void HttpServer::close_where(Predicate predicate) {
+  std::vector<evhttp_connection*> to_close;
+  for (auto& [connection, client] : clients_) {
+    if (predicate(*client) && !is_about_to_read(connection)) to_close.push_back(connection);
+  }
+  for (evhttp_connection* connection : to_close) {
+    reject_incomplete(*clients_.at(connection));
+    evhttp_connection_free(connection);  // calls on_closed()
   }
 }
 
-// How long the request just read has waited since its last byte came: behind another one, or unread at its
-// socket. Danger: while accepting pauses, or the process is held up, it is read long after it came; servers
-// would be told a time that its client no longer has.
-Time HttpServer::time_waited(ClientState& client) {
+// Returns how long the request just read has waited since its last byte arrived, behind another request or
+// unread at its socket. While accepting is paused or the process is stalled, it is read long after it
+// arrived; endpoints would be told of time that the client no longer has.
+Time HttpServer::waiting_time(ClientState& client) {
   const Time at = now();
-  const Time behind_others = at - client.arrivals.last_taken(input_length(client.connection), at);
+  const Time behind_others = at - client.arrival_times.last_consumed_at(input_length(client.connection), at);
   return std::max(behind_others, since_last_data(socket_of(client.connection)));
 }
 
-void HttpServer::request(evhttp_request* r) {
-  ClientState& client = client_of(evhttp_request_get_connection(r));
-  client.request = r;
-  client.has_requested = true, client.begun = 0;
-  client.count_unfinished(input_length(client.connection));
-  const Time waited = time_waited(client);
+void HttpServer::handle_request(evhttp_request* http_request) {
+  ClientState& client = client_of(evhttp_request_get_connection(http_request));
+  client.request = http_request;
+  client.has_sent_request = true;
+  client.request_began_at = 0;
+  client.set_incomplete_bytes(input_length(client.connection));
+  const Time waited = waiting_time(client);
   watch_for_departure(client);
-  // Danger: nothing may be sent on for a client that has gone. The event of its end, just asked for, closes.
+  // No attempt may be sent for a client that has disconnected. The event just added closes the connection.
   if (peer_closed(socket_of(client.connection))) return;
-  std::unique_ptr<dispatch::Responder> reply = std::make_unique<Waiting>(client);
-  if (const char* wrong = framing(r)) return reply->respond(400, "", std::string(wrong) + "\n");
-  const char* stated = evhttp_uri_get_path(evhttp_request_get_evhttp_uri(r));
-  const std::string_view path = stated ? stated : "";
-  if (path == "/_health")
-    return ready_ && can_serve_ ? reply->respond(200, "", "ready\n")
-                                : reply->respond(503, "", ready_ ? "no servers known yet\n" : "leaving\n");
-  const auto front =
-      std::find_if(fronts_.begin(), fronts_.end(), [&](const Frontend* f) { return f->handles(path); });
-  const bool post = evhttp_request_get_command(r) == EVHTTP_REQ_POST;
-  // Danger: what is sent on so late may be unanswered when the process is killed.
-  if (closed_) return reply->respond(503, "", "leaving; trying again elsewhere is harmless\n");
-  if (!post && front == fronts_.end()) return reply->respond(405, "", "only POST here\n");
-  const evkeyvalq* headers = evhttp_request_get_input_headers(r);
-  const auto header = [&](const char* name) -> const char* {
-    const char* found = nullptr;
-    for (const evkeyval* h = headers->tqh_first; h; h = h->next.tqe_next)
-      if (evutil_ascii_strcasecmp(h->key, name) == 0 && std::exchange(found, h->value)) return nullptr;
-    return found;  // none where it's said twice
+  std::unique_ptr<dispatch::Responder> responder = std::make_unique<ConnectionResponder>(client);
+  if (const char* error = find_framing_error(http_request)) {
+    return responder->respond(400, "", std::string(error) + "\n");
+  }
+  const char* uri_path = evhttp_uri_get_path(evhttp_request_get_evhttp_uri(http_request));
+  const std::string_view path = uri_path ? uri_path : "";
+  if (path == "/_health") {
+    return is_ready_ && can_serve_
+               ? responder->respond(200, "", "ready\n")
+               : responder->respond(503, "", is_ready_ ? "no servers known yet\n" : "leaving\n");
+  }
+  const auto frontend =
+      std::find_if(frontends_.begin(), frontends_.end(), [&](const Frontend* f) { return f->handles(path); });
+  const bool is_post = evhttp_request_get_command(http_request) == EVHTTP_REQ_POST;
+  // A request started so late might still be in flight when the process is killed.
+  if (has_stopped_accepting_) {
+    return responder->respond(503, "", "leaving; trying again elsewhere is harmless\n");
+  }
+  if (!is_post && frontend == frontends_.end()) return responder->respond(405, "", "only POST here\n");
+  const evkeyvalq* headers = evhttp_request_get_input_headers(http_request);
+  const auto header_value = [&](const char* name) -> const char* {
+    const char* value = nullptr;
+    for (const evkeyval* header = headers->tqh_first; header; header = header->next.tqe_next) {
+      if (evutil_ascii_strcasecmp(header->key, name) == 0 && std::exchange(value, header->value)) {
+        return nullptr;
+      }
+    }
+    return value;  // null where the header is repeated
   };
-  evbuffer* body = evhttp_request_get_input_buffer(r);
-  const std::size_t n = evbuffer_get_length(body);
-  platform::ClientRequest asked{path.substr(path.empty() ? 0 : 1, path.find('/', 1) - 1),
-                                header("X-Txn"),
-                                header("X-Lane"),
-                                header("X-Remaining"),
-                                header("X-Resent"),
-                                {n ? reinterpret_cast<const char*>(evbuffer_pullup(body, -1)) : "", n}};
-  asked.waited = waited;
-  std::function<void()> leave;
-  if (front != fronts_.end()) {
-    const char* parameters = evhttp_uri_get_query(evhttp_request_get_evhttp_uri(r));
-    asked.path = path, asked.parameters = parameters ? parameters : "", asked.method = post ? "POST" : "GET";
-    leave = (*front)->handle(asked, std::move(reply));
+  evbuffer* body = evhttp_request_get_input_buffer(http_request);
+  const std::size_t body_length = evbuffer_get_length(body);
+  platform::ClientRequest request{
+      path.substr(path.empty() ? 0 : 1, path.find('/', 1) - 1),
+      header_value("X-Txn"),
+      header_value("X-Lane"),
+      header_value("X-Remaining"),
+      header_value("X-Resent"),
+      {body_length ? reinterpret_cast<const char*>(evbuffer_pullup(body, -1)) : "", body_length}};
+  request.waited = waited;
+  std::function<void()> abandon;
+  if (frontend != frontends_.end()) {
+    const char* parameters = evhttp_uri_get_query(evhttp_request_get_evhttp_uri(http_request));
+    request.path = path;
+    request.parameters = parameters ? parameters : "";
+    request.method = is_post ? "POST" : "GET";
+    abandon = (*frontend)->handle(request, std::move(responder));
   } else {
-    const RequestId id = admit_.start_request(asked, std::move(reply));
-    leave = [this, id] { route_.abandon_request(id); };
+    const RequestId id = request_parser_.start_request(request, std::move(responder));
+    abandon = [this, id] { dispatcher_.abandon_request(id); };
   }
-  if (client.request) client.leave = std::move(leave);  // else answered already
+  if (client.request) client.abandon = std::move(abandon);  // otherwise it has been responded to
 }
 
-// evhttp doesn't read while a request is being handled, and so doesn't hear of a client that leaves.
+// evhttp doesn't read while a request is in flight, so it doesn't notice that a client disconnects.
 void HttpServer::watch_for_departure(ClientState& client) {
   const int fd = socket_of(client.connection);
-  if (!client.end)
-    client.end = event_new(
+  if (!client.departure) {
+    client.departure = event_new(
         base_, fd, EV_READ | EV_CLOSED | EV_PERSIST,
-        [](evutil_socket_t fd, short, void* at) {
+        [](evutil_socket_t fd, short, void* context) {
           guarded("client", [&] {
-            ClientState& c = *static_cast<ClientState*>(at);
+            ClientState& client = *static_cast<ClientState*>(context);
             char byte;
-            const ssize_t got = recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-            if (got < 0 && (errno == EAGAIN || errno == EINTR)) return;
-            if (got > 0 && !peer_closed(fd)) return c.home->keep_early_bytes(c);
-            evhttp_connection_free(c.connection);  // ends in on_closed()
+            const ssize_t received = recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+            if (received < 0 && (errno == EAGAIN || errno == EINTR)) return;
+            if (received > 0 && !peer_closed(fd)) return client.server->defer_early_bytes(client);
+            evhttp_connection_free(client.connection);  // calls on_closed()
           });
         },
         &client);
-  event_add(client.end, nullptr);
+  }
+  event_add(client.departure, nullptr);
 }
 
-// Bytes ahead of their time wait until the answer is out: the parser reads one request at a time, and an
-// event for them would come again and again. Danger: behind them the client's leaving isn't heard.
-void HttpServer::keep_early_bytes(ClientState& client) {
-  event_del(client.end);
-  client.early_bytes = true;
-  client.arrivals.seen_unread(now());
-  if (!early_bytes_timer_.pending()) early_bytes_timer_.start(kEarlyBytesCheckEvery);
+// Leaves bytes of a pipelined request unread until the response is written: evhttp parses one request at a
+// time. The departure event would be active in every turn, so it is removed and a timer checks for the
+// client's disconnection.
+void HttpServer::defer_early_bytes(ClientState& client) {
+  event_del(client.departure);
+  client.has_early_bytes = true;
+  client.arrival_times.record_unread(now());
+  if (!early_bytes_timer_.pending()) early_bytes_timer_.start(kEarlyBytesCheckInterval);
 }
 
 void HttpServer::check_early_bytes() {
-  std::vector<evhttp_connection*> left;
-  bool any = false;
+  std::vector<evhttp_connection*> disconnected;
+  bool has_any = false;
   for (auto& [connection, client] : clients_) {
-    if (!client->early_bytes) continue;
-    any = true;
-    if (peer_closed(socket_of(connection))) left.push_back(connection);
+    if (!client->has_early_bytes) continue;
+    has_any = true;
+    if (peer_closed(socket_of(connection))) disconnected.push_back(connection);
   }
-  if (any) early_bytes_timer_.start(kEarlyBytesCheckEvery);
-  for (evhttp_connection* c : left) evhttp_connection_free(c);  // ends in on_closed()
+  if (has_any) early_bytes_timer_.start(kEarlyBytesCheckInterval);
+  for (evhttp_connection* connection : disconnected) evhttp_connection_free(connection);  // calls on_closed()
 }
 
-// The connection is freed by the event of its end, not here: this may be called from within its callbacks.
+// Leaves the connections to their departure events, since this may be called from within their callbacks.
 void HttpServer::abandon_departed() {
-  std::vector<std::function<void()>> leaves;
-  for (auto& [connection, client] : clients_)
-    if (client->leave && peer_closed(socket_of(connection)))
-      leaves.push_back(std::exchange(client->leave, nullptr));
-  for (const auto& leave : leaves) leave();
+  std::vector<std::function<void()>> to_abandon;
+  for (auto& [connection, client] : clients_) {
+    if (client->abandon && peer_closed(socket_of(connection))) {
+      to_abandon.push_back(std::exchange(client->abandon, nullptr));
+    }
+  }
+  for (const auto& abandon : to_abandon) abandon();
 }
 
 void HttpServer::on_closed(evhttp_connection* connection) {
   const auto it = clients_.find(connection);
   if (it == clients_.end()) return;
-  const auto leave = std::move(it->second->leave);
+  const auto abandon = std::move(it->second->abandon);
   clients_.erase(it);
-  if (leave) leave();
+  if (abandon) abandon();
 }
 
-void HttpServer::close_after_responses() { last_answers_ = true; }
+void HttpServer::close_after_responses() { closes_after_responses_ = true; }
 
-// Danger: a request that was read, or whose bytes wait at the socket, behind the one now answered would go
-// with the connection. It is answered first, within bounds.
-bool HttpServer::answers_last(const ClientState& client) const {
-  if (!last_answers_) return false;
-  if (closed_ && now() - closed_at_ > kPipelineClosing) return true;
-  return input_length(client.connection) == 0 && unread(client.connection) == 0;
+// Pipelined requests that have been read, or wait at the socket, are answered before the connection is
+// closed, for a limited time: closing it would lose them.
+bool HttpServer::closes_after_response(const ClientState& client) const {
+  if (!closes_after_responses_) return false;
+  if (has_stopped_accepting_ && now() - stopped_accepting_at_ > kPipelineTimeoutClosing) return true;
+  return input_length(client.connection) == 0 && unread_bytes(client.connection) == 0;
 }
 
 bool HttpServer::has_backlog() const {
-  if (closed_) return false;
+  if (has_stopped_accepting_) return false;
   return ready_events(evconnlistener_get_fd(listener_), POLLIN) != 0;
 }
 
-// Danger: a crowd that says nothing holds the descriptors as the process shuts down, and requests behind it
-// in the system's queue are reset with the listener. Harm: one of the crowd that was about to ask must
-// connect anew.
+// While the process shuts down, idle connections that hold all descriptors would keep the backlog from being
+// accepted, and its connections are reset with the listener. A client that was about to send a request on a
+// connection closed here must connect again.
 void HttpServer::make_room() {
-  if (!paused_) return;
-  close_where([](const ClientState& client) { return client.at_rest(); });
-  accepted();
+  if (!is_paused_) return;
+  close_where([](const ClientState& client) { return client.is_idle(); });
+  update_accepting();
 }
 
 void HttpServer::stop_accepting() {
-  closed_ = true;
-  closed_at_ = now();
+  has_stopped_accepting_ = true;
+  stopped_accepting_at_ = now();
   evconnlistener_disable(listener_);
-  // Danger: the system would go on accepting into its queue, and what asks there would never be answered.
+  // Otherwise the kernel would go on completing connections into the backlog, where requests are never read.
   shutdown(evconnlistener_get_fd(listener_), SHUT_RD);
-  close_where([](const ClientState& client) { return client.at_rest(); });
+  close_where([](const ClientState& client) { return client.is_idle(); });
 }
 
 }  // namespace cairnhub::frontend
--- a/src/frontend/http/http_server.h
+++ b/src/frontend/http/http_server.h
@@ -1,5 +1,5 @@
-// The taking-in stage: clients' HTTP. Hands what was asked to be admitted and writes the answer to the
-// connection it came on.
+// The HTTP server for clients. Passes each request to the frontend that handles its path and writes the
+// response to the connection that the request came on.
 #pragma once
 #include <event2/event.h>
 
@@ -20,78 +20,95 @@
 
 namespace cairnhub::frontend {
 
-// A form of requests beside the platform's, on the same listener.
+// Serves a request format other than the platform's on the same listener.
 class Frontend {
  public:
   virtual ~Frontend() = default;
   virtual bool handles(std::string_view path) const = 0;
-  // Returns what to call should the client leave before it's answered.
-  virtual std::function<void()> handle(const platform::ClientRequest& asked,
-                                       std::unique_ptr<dispatch::Responder> reply) = 0;
+  // Starts the request, or responds to it at once.
+  // @return what to call should the client leave before the response is written
+  virtual std::function<void()> handle(const platform::ClientRequest& request,
+                                       std::unique_ptr<dispatch::Responder> responder) = 0;
 };
 
 class HttpServer {
  public:
-  void add_frontend(Frontend& front) { fronts_.push_back(&front); }
-  // `pause_at`: the descriptor from which on no further connection is accepted. Past `most_idle` connections
-  // that have been answered, those idle longest are let go. `unfinished_most`: bytes of unfinished requests,
-  // over all connections.
-  HttpServer(event_base* base, const std::string& listen, int pause_at, std::size_t most_idle,
-             std::size_t unfinished_most, platform::RequestParser& admit, dispatch::RequestDispatcher& route);
+  // Frontends are asked in the order in which they were added. They must outlive the server's event loop.
+  void add_frontend(Frontend& frontend) { frontends_.push_back(&frontend); }
+  // @param pause_at_descriptor  accepting pauses once a new connection would get this descriptor number or
+  //                             a higher one
+  // @param max_idle             connections without a request in flight that are kept after their first
+  //                             request; those idle longest are closed first
+  // @param max_incomplete_bytes of incomplete requests, over all connections
+  // @throws std::runtime_error where the address is invalid or can't be bound
+  HttpServer(event_base* base, const std::string& listen_address, int pause_at_descriptor,
+             std::size_t max_idle, std::size_t max_incomplete_bytes, platform::RequestParser& request_parser,
+             dispatch::RequestDispatcher& dispatcher);
   ~HttpServer();
 
-  void set_not_ready() { ready_ = false; }  // whoever asks for its health is told so
-  // Health is answered with 200 only from now on. Danger: a process that knows no server would be given
-  // clients to turn away.
+  // From now on health checks fail.
+  void set_not_ready() { is_ready_ = false; }
+  // Health checks fail until this is called: a broker that knows no endpoint would be given clients whose
+  // requests it must reject.
   void set_can_serve() { can_serve_ = true; }
-  void close_after_responses();  // from now on each answer ends its connection
-  bool has_backlog() const;      // connections wait to be accepted
-  // Accepting goes on where it had paused, as connections that rest are closed for it.
+  // From now on each response closes its connection.
+  void close_after_responses();
+  // Whether connections wait to be accepted.
+  bool has_backlog() const;
+  // Resumes accepting where it is paused, by closing idle connections.
   void make_room();
-  // Tells of the clients that have gone though the event of it is still to come.
+  // Abandons the requests of clients that have disconnected, ahead of the events of their disconnection.
   void abandon_departed();
-  void stop_accepting();  // accepts no more and lets idle connections go; what is read from now on is refused
-  bool is_idle() const { return clients_.empty() && just_accepted_.empty(); }  // every answer is written
+  // Stops accepting and closes idle connections. Requests read from now on are rejected.
+  void stop_accepting();
+  // Whether no connection is open, so that every response has been written.
+  bool is_idle() const { return clients_.empty() && new_connections_.empty(); }
 
  private:
-  class Waiting;
+  class ConnectionResponder;
   struct ClientState;
   ClientState& client_of(evhttp_connection* connection);
-  void request(evhttp_request* r);
-  static Time time_waited(ClientState& client);
+  void handle_request(evhttp_request* request);
+  static Time waiting_time(ClientState& client);
   void watch_for_departure(ClientState& client);
   void on_closed(evhttp_connection* connection);
-  void accepted();
+  void update_accepting();
   void sweep();
-  bool overstays(const ClientState& client) const;
-  static void refuse_unfinished(const ClientState& client);
-  bool answers_last(const ClientState& client) const;
-  void keep_early_bytes(ClientState& client);
+  bool has_timed_out(const ClientState& client) const;
+  static void reject_incomplete(const ClientState& client);
+  bool closes_after_response(const ClientState& client) const;
+  void defer_early_bytes(ClientState& client);
   void check_early_bytes();
-  template <class F>
-  void close_where(F which);
-  void bound_unfinished();
-  void sweep_if_too_much();
+  template <class Predicate>
+  void close_where(Predicate predicate);
+  void limit_incomplete_requests();
+  void sweep_if_over_limit();
 
-  static inline HttpServer* accepting_ = nullptr;
+  // For the listener's error callback.
+  static inline HttpServer* accepting_server_ = nullptr;
   event_base* base_;
   evhttp* http_ = nullptr;
   evconnlistener* listener_ = nullptr;
-  int pause_at_;
-  std::size_t most_idle_, unfinished_most_;
-  std::size_t unfinished_ = 0;  // bytes of unfinished requests
+  int pause_at_descriptor_;
+  std::size_t max_idle_;
+  std::size_t max_incomplete_bytes_;
+  std::size_t incomplete_bytes_ = 0;  // of incomplete requests, over all connections
   Timer sweep_timer_;
-  Timer early_bytes_timer_;  // for clients that wrote ahead: whether they have left
-  Timer accept_again_;
-  platform::RequestParser& admit_;
-  dispatch::RequestDispatcher& route_;
-  std::vector<Frontend*> fronts_;
-  std::vector<bufferevent*>
-      just_accepted_;  // accepted in this turn of the loop; held until they get their state
+  Timer early_bytes_timer_;  // checks whether clients that sent early bytes have disconnected
+  Timer resume_timer_;       // enables the listener again after a failed accept
+  platform::RequestParser& request_parser_;
+  dispatch::RequestDispatcher& dispatcher_;
+  std::vector<Frontend*> frontends_;
+  // Accepted in this turn of the loop; referenced until they get their state.
+  std::vector<bufferevent*> new_connections_;
   std::map<evhttp_connection*, std::unique_ptr<ClientState>> clients_;
-  Time closed_at_ = 0;
-  bool sweep_due_ = false;  // in this or the next turn, as unfinished requests take too much
-  bool paused_ = false, last_answers_ = false, closed_ = false, ready_ = true, can_serve_ = false;
+  Time stopped_accepting_at_ = 0;
+  bool is_sweep_due_ = false;  // in this or the next turn, as incomplete requests exceed their limit
+  bool is_paused_ = false;
+  bool closes_after_responses_ = false;
+  bool has_stopped_accepting_ = false;
+  bool is_ready_ = true;
+  bool can_serve_ = false;
 };
 
 }  // namespace cairnhub::frontend
--- a/src/frontend/opensearch/opensearch_frontend.cpp
+++ b/src/frontend/opensearch/opensearch_frontend.cpp
@@ -15,159 +15,183 @@
 
 namespace {
 
-std::string text(const json& v) { return v.dump(-1, ' ', false, json::error_handler_t::replace); }
+std::string json_text(const json& value) {
+  return value.dump(-1, ' ', false, json::error_handler_t::replace);
+}
 
-std::string decoded(std::string_view in) {
+std::string url_decoded(std::string_view in) {
   std::string out;
   for (std::size_t i = 0; i < in.size(); ++i) {
-    const auto digit = [&](std::size_t at) {
+    const auto hex_digit = [&](std::size_t at) {
       const char c = at < in.size() ? in[at] : 'x';
       return c >= '0' && c <= '9'   ? c - '0'
              : c >= 'a' && c <= 'f' ? c - 'a' + 10
              : c >= 'A' && c <= 'F' ? c - 'A' + 10
                                     : -1;
     };
-    if (in[i] == '%' && digit(i + 1) >= 0 && digit(i + 2) >= 0)
-      out += static_cast<char>(16 * digit(i + 1) + digit(i + 2)), i += 2;
-    else
+    if (in[i] == '%' && hex_digit(i + 1) >= 0 && hex_digit(i + 2) >= 0) {
+      out += static_cast<char>(16 * hex_digit(i + 1) + hex_digit(i + 2));
+      i += 2;
+    } else {
       out += in[i] == '+' ? ' ' : in[i];
+    }
   }
   return out;
 }
-std::vector<std::pair<std::string, std::string>> parameters(std::string_view query) {
-  std::vector<std::pair<std::string, std::string>> all;
+std::vector<std::pair<std::string, std::string>> url_parameters(std::string_view query) {
+  std::vector<std::pair<std::string, std::string>> parameters;
   while (!query.empty()) {
     const auto end = std::min(query.find('&'), query.size());
-    const std::string_view one = query.substr(0, end);
+    const std::string_view parameter = query.substr(0, end);
     query.remove_prefix(std::min(end + 1, query.size()));
-    if (one.empty()) continue;
-    const auto eq = std::min(one.find('='), one.size());
-    all.emplace_back(decoded(one.substr(0, eq)), decoded(one.substr(std::min(eq + 1, one.size()))));
+    if (parameter.empty()) continue;
+    const auto equals = std::min(parameter.find('='), parameter.size());
+    parameters.emplace_back(url_decoded(parameter.substr(0, equals)),
+                            url_decoded(parameter.substr(std::min(equals + 1, parameter.size()))));
   }
-  return all;
+  return parameters;
 }
-// `/a/_search` is a and _search.
-std::pair<std::string, std::string> split(std::string_view path) {
-  const auto verb = path.find("/_");
-  if (verb == std::string_view::npos) return {"", ""};
-  const std::string_view before = path.substr(0, verb);
-  constexpr std::string_view kCat = "/_cat/shards/";
-  if (path.rfind(kCat, 0) == 0) return {decoded(path.substr(kCat.size())), "_cat/shards"};
-  return {decoded(before.substr(before.empty() ? 0 : 1)), std::string(path.substr(verb + 1))};
+// Splits a path into the index and the operation: `/a/_search` into `a` and `_search`.
+std::pair<std::string, std::string> split_path(std::string_view path) {
+  const auto operation = path.find("/_");
+  if (operation == std::string_view::npos) return {"", ""};
+  const std::string_view before = path.substr(0, operation);
+  constexpr std::string_view kCatShardsPrefix = "/_cat/shards/";
+  if (path.rfind(kCatShardsPrefix, 0) == 0) {
+    return {url_decoded(path.substr(kCatShardsPrefix.size())), "_cat/shards"};
+  }
+  return {url_decoded(before.substr(before.empty() ? 0 : 1)), std::string(path.substr(operation + 1))};
 }
-bool known_verb(const std::string& verb) {
-  static const char* verbs[] = {"_search", "_msearch", "_mget", "_count", "_cluster/health", "_cat/shards"};
-  return std::any_of(std::begin(verbs), std::end(verbs), [&](const char* v) { return verb == v; });
+bool is_known_operation(const std::string& operation) {
+  static const char* operations[] = {"_search", "_msearch",        "_mget",
+                                     "_count",  "_cluster/health", "_cat/shards"};
+  return std::any_of(std::begin(operations), std::end(operations),
+                     [&](const char* known) { return operation == known; });
 }
-os::Fault no_index(const std::string& name) {
+os::Fault index_not_found(const std::string& name) {
   return {404, "index_not_found_exception", "no such index [" + name.substr(0, 80) + "]"};
 }
 
 }  // namespace
 
-// A request of the API, of one search or many: answered once, when all of them have ended.
-struct OpenSearchFrontend::Job {
-  std::unique_ptr<dispatch::Responder> reply;
+// A request of the API with one search or several. It is responded to once, when all of them have ended.
+struct OpenSearchFrontend::ApiRequest {
+  std::unique_ptr<dispatch::Responder> responder;
   std::vector<os::Outcome> outcomes;
-  std::vector<RequestId> open;  // by slot; 0 once ended
-  std::vector<Time> come_back;
-  std::size_t left = 0;
-  Time began = now();
-  bool gone = false;
-  // Of the API's ways to say it: how the outcomes become one body.
-  std::function<os::Outcome(Job&)> form;
-  std::vector<std::vector<std::string>> hits;  // for _mget: raw hits of each slot
-  std::vector<bool> whole;
+  std::vector<RequestId> request_ids;  // by slot; 0 once ended
+  std::vector<Time> retry_after;
+  std::size_t unfinished = 0;  // searches that have not ended
+  Time began_at = now();
+  bool is_abandoned = false;
+  // Combines the outcomes into one response, in the format of the operation.
+  std::function<os::Outcome(ApiRequest&)> combine;
+  std::vector<std::vector<std::string>> hits;  // for _mget: the raw hits by slot
+  std::vector<bool> is_complete;               // by slot
   bool keeps_hits = false;
 
-  void end(Slot slot, os::Outcome outcome, Time advice = 0) {
-    outcomes[slot] = std::move(outcome), open[slot] = 0, come_back[slot] = advice;
-    if (--left == 0 && !gone) answer();
+  void end_search(Slot slot, os::Outcome outcome, Time retry_after_time = 0) {
+    outcomes[slot] = std::move(outcome);
+    request_ids[slot] = 0;
+    retry_after[slot] = retry_after_time;
+    if (--unfinished == 0 && !is_abandoned) respond();
   }
-  void answer() {
-    const os::Outcome all = form(*this);
-    const Time advice = outcomes.size() == 1 ? come_back[0] : 0;
-    reply->respond(all.status, frontend::platform::retry_after_text(advice), all.body, "application/json");
+  void respond() {
+    const os::Outcome combined = combine(*this);
+    const Time retry_after_time = outcomes.size() == 1 ? retry_after[0] : 0;
+    responder->respond(combined.status, frontend::platform::retry_after_text(retry_after_time), combined.body,
+                       "application/json");
   }
 };
 
-// The client of one search's multiget.
-class OpenSearchFrontend::Ask : public dispatch::RequestCallbacks {
+// Merges the values that one search's request returns, and records its outcome in the API request.
+class OpenSearchFrontend::SearchCallbacks : public dispatch::RequestCallbacks {
  public:
-  Ask(OpenSearchFrontend& home, std::shared_ptr<Job> job, Slot slot, const IndexDefinition& index,
-      os::Search search, bool counts)
-      : home_(home),
-        job_(std::move(job)),
+  SearchCallbacks(OpenSearchFrontend& frontend, std::shared_ptr<ApiRequest> api_request, Slot slot,
+                  const IndexDefinition& index, os::Search search, bool is_count)
+      : frontend_(frontend),
+        api_request_(std::move(api_request)),
         slot_(slot),
         index_(index),
         search_(std::move(search)),
-        counts_(counts) {}
-  ~Ask() override { home_.book_.adjust_memory(held_, 0); }
+        is_count_(is_count) {}
+  ~SearchCallbacks() override { frontend_.requests_.adjust_memory(answer_bytes_, 0); }
 
-  ValueUse on_value(const dispatch::ShardRequest& part, std::string_view value) override {
+  ValueUse on_value(const dispatch::ShardRequest& shard_request, std::string_view value) override {
     auto answer = std::make_unique<os::BlockAnswer>();
-    const char* wrong = os::read_answer(value, search_, index_.name, part.shard - index_.first, *answer);
-    if (wrong) {
-      log("search", "%s: %s", part.name.c_str(), wrong);
-      unusable_[part.shard] = wrong;
+    const char* error =
+        os::read_answer(value, search_, index_.name, shard_request.shard - index_.first_shard, *answer);
+    if (error) {
+      log("search", "%s: invalid response: %s", shard_request.name.c_str(), error);
+      value_errors_[shard_request.shard] = error;
       return ValueUse::kInvalid;
     }
-    const std::size_t before = held_;
-    held_ += 2 * value.size();
-    home_.book_.adjust_memory(before, held_);
-    answers_[part.shard] = std::move(answer);
+    const std::size_t bytes_before = answer_bytes_;
+    answer_bytes_ += 2 * value.size();
+    frontend_.requests_.adjust_memory(bytes_before, answer_bytes_);
+    answers_[shard_request.shard] = std::move(answer);
     return ValueUse::kTaken;
   }
-  void on_response(const dispatch::Request& q, bool whole) override {
-    const os::Shards shards = standing(q, whole);
+  void on_response(const dispatch::Request& request, bool is_complete) override {
+    const os::Shards shards = shard_summary(request, is_complete);
     std::vector<os::Part> parts;
-    for (const auto& [block, a] : answers_) parts.push_back({block, a.get()});
-    const bool all_in = answers_.size() == q.shard_requests.size();
-    auto merged = os::merge(search_, parts, all_in);
-    if (const auto* f = std::get_if<os::Fault>(&merged)) return job_->end(slot_, os::fault(*f));
-    const auto& m = std::get<os::Merged>(merged);
-    job_->whole[slot_] = whole && all_in;
-    if (job_->keeps_hits)
-      for (const auto& place : m.page) job_->hits[slot_].emplace_back(place.hit->raw);
-    const std::int64_t took = (now() - job_->began) / 1'000'000;
-    job_->end(slot_, counts_ ? os::count_answer(m, shards, whole)
-                             : os::search_answer(search_, m, shards, whole, took));
+    for (const auto& [shard, answer] : answers_) parts.push_back({shard, answer.get()});
+    const bool has_all_answers = answers_.size() == request.shard_requests.size();
+    auto result = os::merge(search_, parts, has_all_answers);
+    if (const auto* fault = std::get_if<os::Fault>(&result)) {
+      return api_request_->end_search(slot_, os::fault(*fault));
+    }
+    const auto& merged = std::get<os::Merged>(result);
+    api_request_->is_complete[slot_] = is_complete && has_all_answers;
+    if (api_request_->keeps_hits) {
+      for (const auto& place : merged.page) api_request_->hits[slot_].emplace_back(place.hit->raw);
+    }
+    const std::int64_t took_ms = (now() - api_request_->began_at) / 1'000'000;
+    api_request_->end_search(slot_, is_count_
+                                        ? os::count_answer(merged, shards, is_complete)
+                                        : os::search_answer(search_, merged, shards, is_complete, took_ms));
+  }
+  void on_rejected(const dispatch::Request& request, Time retry_after) override {
+    const bool has_attempts =
+        std::any_of(request.shard_requests.begin(), request.shard_requests.end(),
+                    [](auto& shard_request) { return !shard_request->attempts.empty(); });
+    api_request_->end_search(
+        slot_, has_attempts ? os::failed(shard_summary(request, false)) : os::pushed_back(), retry_after);
   }
-  void on_rejected(const dispatch::Request& q, Time come_back) override {
-    const bool sent = std::any_of(q.shard_requests.begin(), q.shard_requests.end(),
-                                  [](auto& p) { return !p->attempts.empty(); });
-    job_->end(slot_, sent ? os::failed(standing(q, false)) : os::pushed_back(), come_back);
+  void on_failed(const dispatch::Request& request) override {
+    api_request_->end_search(slot_, os::failed(shard_summary(request, false)));
   }
-  void on_failed(const dispatch::Request& q) override { job_->end(slot_, os::failed(standing(q, false))); }
 
  private:
-  // What became of each block, from its last send.
-  os::Shards standing(const dispatch::Request& q, bool whole) const {
-    os::Shards s;
-    s.total = static_cast<int>(q.shard_requests.size());
-    for (const auto& p : q.shard_requests) {
-      if (answers_.count(p->shard)) continue;
-      if (whole) {
-        ++s.skipped;  // enough others are in
+  // Returns the result of each shard, from its last attempt.
+  os::Shards shard_summary(const dispatch::Request& request, bool is_complete) const {
+    os::Shards summary;
+    summary.total = static_cast<int>(request.shard_requests.size());
+    for (const auto& shard_request : request.shard_requests) {
+      if (answers_.count(shard_request->shard)) continue;
+      if (is_complete) {
+        ++summary.skipped;  // the required share was reached without it
         continue;
       }
-      os::Failure f;
-      f.index = index_.name, f.block = p->shard - index_.first;
-      if (!p->attempts.empty()) {
-        const dispatch::Attempt& last = *p->attempts.back();
-        f.node = home_.around_.endpoint_name(last.endpoint);
-        f.how = how(last);
-        const auto why = unusable_.find(p->shard);
-        if (f.how == os::Failure::How::error && why != unusable_.end())
-          f.how = os::Failure::How::unusable, f.detail = why->second;
+      os::Failure failure;
+      failure.index = index_.name;
+      failure.block = shard_request->shard - index_.first_shard;
+      if (!shard_request->attempts.empty()) {
+        const dispatch::Attempt& last = *shard_request->attempts.back();
+        failure.node = frontend_.endpoints_.endpoint_name(last.endpoint);
+        failure.how = failure_kind(last);
+        const auto error = value_errors_.find(shard_request->shard);
+        if (failure.how == os::Failure::How::error && error != value_errors_.end()) {
+          failure.how = os::Failure::How::unusable;
+          failure.detail = error->second;
+        }
       }
-      s.failures.push_back(std::move(f));
+      summary.failures.push_back(std::move(failure));
     }
-    return s;
+    return summary;
   }
-  static os::Failure::How how(const dispatch::Attempt& e) {
-    if (!e.has_ended) return os::Failure::How::timed_out;
-    switch (e.outcome) {
+  static os::Failure::How failure_kind(const dispatch::Attempt& attempt) {
+    if (!attempt.has_ended) return os::Failure::How::timed_out;
+    switch (attempt.outcome) {
       case AttemptOutcome::kQueueFull:
         return os::Failure::How::rejected;
       case AttemptOutcome::kConnectFailed:
@@ -185,241 +209,284 @@
     return os::Failure::How::error;
   }
 
-  OpenSearchFrontend& home_;
-  std::shared_ptr<Job> job_;
+  OpenSearchFrontend& frontend_;
+  std::shared_ptr<ApiRequest> api_request_;
   Slot slot_;
   const IndexDefinition& index_;
   const os::Search search_;
   std::map<int, std::unique_ptr<os::BlockAnswer>> answers_;  // by shard
-  std::map<int, const char*> unusable_;
-  std::size_t held_ = 0;
-  bool counts_;
+  std::map<int, const char*> value_errors_;                  // by shard
+  std::size_t answer_bytes_ = 0;                             // approximate memory of the answers
+  bool is_count_;
 };
 
 OpenSearchFrontend::OpenSearchFrontend(std::vector<IndexDefinition> indices, const os::Limits& limits,
-                                       dispatch::InFlightRequests& book, dispatch::RequestDispatcher& route,
-                                       const EndpointView& around)
-    : indices_(std::move(indices)), limits_(limits), book_(book), route_(route), around_(around) {}
+                                       dispatch::InFlightRequests& requests,
+                                       dispatch::RequestDispatcher& dispatcher, const EndpointView& endpoints)
+    : indices_(std::move(indices)),
+      limits_(limits),
+      requests_(requests),
+      dispatcher_(dispatcher),
+      endpoints_(endpoints) {}
 
-bool OpenSearchFrontend::handles(std::string_view path) const { return known_verb(split(path).second); }
+bool OpenSearchFrontend::handles(std::string_view path) const {
+  return is_known_operation(split_path(path).second);
+}
 
-const IndexDefinition* OpenSearchFrontend::find(const std::string& name) const {
-  for (const IndexDefinition& i : indices_) {
-    if (!route_.serves_index(i.name)) continue;  // taken out by rules that brokers hold in common
-    if (i.name == name || ((name.empty() || name == "_all" || name == "*") && indices_.size() == 1))
-      return &i;
+const IndexDefinition* OpenSearchFrontend::find_index(const std::string& name) const {
+  for (const IndexDefinition& index : indices_) {
+    if (!dispatcher_.serves_index(index.name)) continue;  // disabled by the rules of the cluster
+    if (index.name == name || ((name.empty() || name == "_all" || name == "*") && indices_.size() == 1)) {
+      return &index;
+    }
   }
   return nullptr;
 }
 
-std::function<void()> OpenSearchFrontend::handle(const frontend::platform::ClientRequest& asked,
-                                                 std::unique_ptr<dispatch::Responder> reply) {
-  const auto [index, verb] = split(asked.path);
-  const auto says = [&](const os::Outcome& o) {
-    reply->respond(o.status, "", o.body, "application/json");
+std::function<void()> OpenSearchFrontend::handle(const frontend::platform::ClientRequest& client_request,
+                                                 std::unique_ptr<dispatch::Responder> responder) {
+  const auto [index_name, operation] = split_path(client_request.path);
+  const auto respond = [&](const os::Outcome& outcome) {
+    responder->respond(outcome.status, "", outcome.body, "application/json");
     return nullptr;
   };
-  if (verb == "_cluster/health") return says(health());
-  if (verb == "_cat/shards") return reply->respond(200, "", cat_shards(index), "text/plain"), nullptr;
-  if (asked.method != "POST")
-    return says(os::fault({405, "illegal_argument_exception", "only POST here: a GET has no body"}));
-  if (book_.is_full()) return says(os::pushed_back());
-  if (verb == "_msearch") return msearch(asked, index, std::move(reply));
-  if (verb == "_mget") return mget(asked, index, std::move(reply));
-  return search(asked, index, verb == "_count", std::move(reply));
+  if (operation == "_cluster/health") return respond(health());
+  if (operation == "_cat/shards") {
+    responder->respond(200, "", cat_shards(index_name), "text/plain");
+    return nullptr;
+  }
+  if (client_request.method != "POST") {
+    return respond(os::fault({405, "illegal_argument_exception", "only POST here: a GET has no body"}));
+  }
+  if (requests_.is_full()) return respond(os::pushed_back());
+  if (operation == "_msearch") return msearch(client_request, index_name, std::move(responder));
+  if (operation == "_mget") return mget(client_request, index_name, std::move(responder));
+  return search(client_request, index_name, operation == "_count", std::move(responder));
 }
 
-std::function<void()> OpenSearchFrontend::leaves(const std::shared_ptr<Job>& job) {
-  if (job->left == 0) return nullptr;
-  return [this, job] {
-    job->gone = true;
-    for (RequestId& id : job->open)
-      if (id) route_.abandon_request(std::exchange(id, 0));
+// Returns what to call should the client leave; empty where all searches have ended.
+std::function<void()> OpenSearchFrontend::abandon_function(const std::shared_ptr<ApiRequest>& api_request) {
+  if (api_request->unfinished == 0) return nullptr;
+  return [this, api_request] {
+    api_request->is_abandoned = true;
+    for (RequestId& id : api_request->request_ids) {
+      if (id) dispatcher_.abandon_request(std::exchange(id, 0));
+    }
   };
 }
 
-void OpenSearchFrontend::begin(const std::shared_ptr<Job>& job, Slot slot, const IndexDefinition& index,
-                               const os::Search& search, const std::string& body, bool counts) {
-  // Danger: a thousand searches in one request. Each counts by itself.
-  if (book_.is_full()) return job->end(slot, os::pushed_back());
-  auto q = std::make_unique<dispatch::Request>();
-  do q->name = "os" + std::to_string(++asked_);
-  while (book_.contains(q->name));
-  q->request_class = index.op_type;
-  q->body = body;
-  q->time_left = search.timeout ? std::min(*search.timeout, index.timeout) : index.timeout;
-  q->max_value_bytes = SIZE_MAX;  // what is kept of them is counted as it comes
-  for (int b = 0; b < index.blocks; ++b) {
-    auto p = std::make_unique<dispatch::ShardRequest>();
-    p->shard = index.first + b, p->weight = 1.0 / index.blocks;
-    p->name = q->name + "." + std::to_string(p->shard);
-    p->http_target = "/" + index.name + "/_search?preference=_shards:" + std::to_string(b);
-    q->shard_requests.push_back(std::move(p));
+void OpenSearchFrontend::start_search(const std::shared_ptr<ApiRequest>& api_request, Slot slot,
+                                      const IndexDefinition& index, const os::Search& search,
+                                      const std::string& body, bool is_count) {
+  // Checked for each search, since one API request may hold a thousand.
+  if (requests_.is_full()) return api_request->end_search(slot, os::pushed_back());
+  auto request = std::make_unique<dispatch::Request>();
+  do {
+    request->name = "os" + std::to_string(++last_search_number_);
+  } while (requests_.contains(request->name));
+  request->request_class = index.request_class;
+  request->body = body;
+  request->time_left = search.timeout ? std::min(*search.timeout, index.max_time) : index.max_time;
+  request->max_value_bytes = SIZE_MAX;  // on_value() accounts for the memory of the answers
+  for (int i = 0; i < index.shard_count; ++i) {
+    auto shard_request = std::make_unique<dispatch::ShardRequest>();
+    shard_request->shard = index.first_shard + i;
+    shard_request->weight = 1.0 / index.shard_count;
+    shard_request->name = request->name + "." + std::to_string(shard_request->shard);
+    shard_request->http_target = "/" + index.name + "/_search?preference=_shards:" + std::to_string(i);
+    request->shard_requests.push_back(std::move(shard_request));
   }
-  q->callbacks = std::make_unique<Ask>(*this, job, slot, index, search, counts);
-  job->open[slot] = book_.next_id();
-  route_.start_request(std::move(q));
+  request->callbacks = std::make_unique<SearchCallbacks>(*this, api_request, slot, index, search, is_count);
+  api_request->request_ids[slot] = requests_.next_id();
+  dispatcher_.start_request(std::move(request));
 }
 
-std::shared_ptr<OpenSearchFrontend::Job> OpenSearchFrontend::job(std::unique_ptr<dispatch::Responder> reply,
-                                                                 std::size_t slots,
-                                                                 std::function<os::Outcome(Job&)> form) {
-  auto job = std::make_shared<Job>();
-  job->reply = std::move(reply), job->form = std::move(form);
-  job->outcomes.resize(slots), job->open.resize(slots), job->come_back.resize(slots);
-  job->whole.resize(slots), job->hits.resize(slots);
-  job->left = slots;
-  return job;
+std::shared_ptr<OpenSearchFrontend::ApiRequest> OpenSearchFrontend::make_api_request(
+    std::unique_ptr<dispatch::Responder> responder, std::size_t slots,
+    std::function<os::Outcome(ApiRequest&)> combine) {
+  auto api_request = std::make_shared<ApiRequest>();
+  api_request->responder = std::move(responder);
+  api_request->combine = std::move(combine);
+  api_request->outcomes.resize(slots);
+  api_request->request_ids.resize(slots);
+  api_request->retry_after.resize(slots);
+  api_request->is_complete.resize(slots);
+  api_request->hits.resize(slots);
+  api_request->unfinished = slots;
+  return api_request;
 }
 
-std::function<void()> OpenSearchFrontend::search(const frontend::platform::ClientRequest& asked,
-                                                 const std::string& name, bool counts,
-                                                 std::unique_ptr<dispatch::Responder> reply) {
-  const auto refuse = [&](const os::Fault& f) {
-    reply->respond(f.status, "", os::error_body(f), "application/json");
+std::function<void()> OpenSearchFrontend::search(const frontend::platform::ClientRequest& client_request,
+                                                 const std::string& index_name, bool is_count,
+                                                 std::unique_ptr<dispatch::Responder> responder) {
+  const auto reject = [&](const os::Fault& fault) {
+    responder->respond(fault.status, "", os::error_body(fault), "application/json");
     return nullptr;
   };
-  const IndexDefinition* index = find(name);
-  if (!index) return refuse(no_index(name));
-  auto read = os::read_search(asked.body, limits_);
-  if (const auto* f = std::get_if<os::Fault>(&read)) return refuse(*f);
-  os::Search s = std::move(std::get<os::Search>(read));
-  for (const auto& [key, value] : parameters(asked.parameters))
-    if (const auto f = os::read_parameter(key, value, s, limits_)) return refuse(*f);
-  if (counts) {
-    if (!s.sort.empty() || !s.aggregations.empty() || !s.search_after.is_null() || s.from > 0 || s.size != 10)
-      return refuse({400, "parsing_exception", "a count takes a query alone"});
-    s.size = 0, s.counts = s.counts_all = true;
+  const IndexDefinition* index = find_index(index_name);
+  if (!index) return reject(index_not_found(index_name));
+  auto parsed = os::read_search(client_request.body, limits_);
+  if (const auto* fault = std::get_if<os::Fault>(&parsed)) return reject(*fault);
+  os::Search search = std::move(std::get<os::Search>(parsed));
+  for (const auto& [key, value] : url_parameters(client_request.parameters)) {
+    if (const auto fault = os::read_parameter(key, value, search, limits_)) return reject(*fault);
   }
-  const auto j = job(std::move(reply), 1, [](Job& j) { return std::move(j.outcomes[0]); });
-  begin(j, 0, *index, s, os::block_request(s), counts);
-  return leaves(j);
+  if (is_count) {
+    if (!search.sort.empty() || !search.aggregations.empty() || !search.search_after.is_null() ||
+        search.from > 0 || search.size != 10) {
+      return reject({400, "parsing_exception", "a count takes a query alone"});
+    }
+    search.size = 0;
+    search.counts_all = true;
+    search.counts = true;
+  }
+  const auto api_request = make_api_request(std::move(responder), 1,
+                                            [](ApiRequest& ended) { return std::move(ended.outcomes[0]); });
+  start_search(api_request, 0, *index, search, os::block_request(search), is_count);
+  return abandon_function(api_request);
 }
 
-std::function<void()> OpenSearchFrontend::msearch(const frontend::platform::ClientRequest& asked,
-                                                  const std::string& name,
-                                                  std::unique_ptr<dispatch::Responder> reply) {
-  auto read = os::read_msearch(asked.body, name, limits_);
-  if (const auto* f = std::get_if<os::Fault>(&read))
-    return reply->respond(f->status, "", os::error_body(*f), "application/json"), nullptr;
-  const auto& items = std::get<std::vector<os::Item>>(read);
-  const auto j = job(std::move(reply), items.size(), [](Job& j) {
-    std::string body = "{\"took\":" + std::to_string((now() - j.began) / 1'000'000) + ",\"responses\":[";
-    for (std::size_t i = 0; i < j.outcomes.size(); ++i) {
-      std::string& one = j.outcomes[i].body;
+std::function<void()> OpenSearchFrontend::msearch(const frontend::platform::ClientRequest& client_request,
+                                                  const std::string& index_name,
+                                                  std::unique_ptr<dispatch::Responder> responder) {
+  auto parsed = os::read_msearch(client_request.body, index_name, limits_);
+  if (const auto* fault = std::get_if<os::Fault>(&parsed)) {
+    responder->respond(fault->status, "", os::error_body(*fault), "application/json");
+    return nullptr;
+  }
+  const auto& items = std::get<std::vector<os::Item>>(parsed);
+  // All searches are counted as unfinished before the first one starts, so that one that ends at once doesn't
+  // complete the response.
+  const auto api_request = make_api_request(std::move(responder), items.size(), [](ApiRequest& ended) {
+    std::string body =
+        "{\"took\":" + std::to_string((now() - ended.began_at) / 1'000'000) + ",\"responses\":[";
+    for (std::size_t i = 0; i < ended.outcomes.size(); ++i) {
+      std::string& item_body = ended.outcomes[i].body;
       if (i) body += ',';
-      // Each says its own status, as the API has it.
-      if (j.outcomes[i].status == 200) one.pop_back(), one += ",\"status\":200}";
-      body += one;
+      // In the API each item states its own status. Error bodies hold it already.
+      if (ended.outcomes[i].status == 200) {
+        item_body.pop_back();
+        item_body += ",\"status\":200}";
+      }
+      body += item_body;
     }
     return os::Outcome{200, body + "]}"};
   });
-  // One that ends at once must not make the last of those not yet begun: all are counted first.
   for (Slot i = 0; i < items.size(); ++i) {
-    const auto* s = std::get_if<os::Search>(&items[i].search);
-    const IndexDefinition* index = find(items[i].index);
-    if (!s)
-      j->end(i, os::fault(std::get<os::Fault>(items[i].search)));
-    else if (!index)
-      j->end(i, os::fault(no_index(items[i].index)));
-    else
-      begin(j, i, *index, *s, os::block_request(*s), false);
+    const auto* search = std::get_if<os::Search>(&items[i].search);
+    const IndexDefinition* index = find_index(items[i].index);
+    if (!search) {
+      api_request->end_search(i, os::fault(std::get<os::Fault>(items[i].search)));
+    } else if (!index) {
+      api_request->end_search(i, os::fault(index_not_found(items[i].index)));
+    } else {
+      start_search(api_request, i, *index, *search, os::block_request(*search), false);
+    }
   }
-  return leaves(j);
+  return abandon_function(api_request);
 }
 
-// Where a document stands isn't known, so every block is asked; found nowhere means so only if all of them
-// answered.
-std::function<void()> OpenSearchFrontend::mget(const frontend::platform::ClientRequest& asked,
-                                               const std::string& name,
-                                               std::unique_ptr<dispatch::Responder> reply) {
-  auto read = os::read_mget(asked.body, name, limits_);
-  if (const auto* f = std::get_if<os::Fault>(&read))
-    return reply->respond(f->status, "", os::error_body(*f), "application/json"), nullptr;
-  const auto gets = std::get<std::vector<os::Get>>(read);
-  std::map<std::string, std::vector<std::string>> by_index;
-  for (const os::Get& g : gets) {
-    auto& ids = by_index[g.index];
-    if (std::find(ids.begin(), ids.end(), g.id) == ids.end()) ids.push_back(g.id);
+// Asks every shard of an index, since the shard that holds a document isn't known. A document is reported as
+// not found only if all shards have answered.
+std::function<void()> OpenSearchFrontend::mget(const frontend::platform::ClientRequest& client_request,
+                                               const std::string& index_name,
+                                               std::unique_ptr<dispatch::Responder> responder) {
+  auto parsed = os::read_mget(client_request.body, index_name, limits_);
+  if (const auto* fault = std::get_if<os::Fault>(&parsed)) {
+    responder->respond(fault->status, "", os::error_body(*fault), "application/json");
+    return nullptr;
+  }
+  const auto gets = std::get<std::vector<os::Get>>(parsed);
+  std::map<std::string, std::vector<std::string>> ids_by_index;
+  for (const os::Get& get : gets) {
+    auto& ids = ids_by_index[get.index];
+    if (std::find(ids.begin(), ids.end(), get.id) == ids.end()) ids.push_back(get.id);
   }
   std::vector<std::string> names;
-  for (const auto& [index, ids] : by_index) names.push_back(index);
-  const auto j = job(std::move(reply), names.size(), [gets, names](Job& j) {
-    std::map<std::pair<std::string, std::string>, json> found;
-    for (std::size_t i = 0; i < names.size(); ++i)
-      for (const std::string& raw : j.hits[i]) {
-        json hit = json::parse(raw);
-        const std::string id = hit["_id"];
-        found[{names[i], id}] = std::move(hit);
-      }
-    json docs = json::array();
-    for (const os::Get& g : gets) {
-      const auto slot =
-          static_cast<std::size_t>(std::find(names.begin(), names.end(), g.index) - names.begin());
-      json doc{{"_index", g.index}, {"_id", g.id}};
-      if (const auto hit = found.find({g.index, g.id}); hit != found.end()) {
-        doc["found"] = true;
-        if (hit->second.contains("_source")) doc["_source"] = hit->second["_source"];
-      } else if (j.whole[slot]) {
-        doc["found"] = false;
-      } else {
-        const json error = json::parse(j.outcomes[slot].body, nullptr, false);
-        doc["error"] = error.contains("error")
-                           ? error["error"]
-                           : json{{"type", "no_shard_available_action_exception"},
-                                  {"reason", "not every block answered, so that it may be there or not"}};
-      }
-      docs.push_back(std::move(doc));
-    }
-    return os::Outcome{200, text({{"docs", docs}})};
-  });
-  j->keeps_hits = true;
+  for (const auto& [name, ids] : ids_by_index) names.push_back(name);
+  const auto api_request =
+      make_api_request(std::move(responder), names.size(), [gets, names](ApiRequest& ended) {
+        std::map<std::pair<std::string, std::string>, json> hits;  // by index and id
+        for (std::size_t i = 0; i < names.size(); ++i) {
+          for (const std::string& raw : ended.hits[i]) {
+            json hit = json::parse(raw);
+            const std::string id = hit["_id"];
+            hits[{names[i], id}] = std::move(hit);
+          }
+        }
+        json docs = json::array();
+        for (const os::Get& get : gets) {
+          const auto slot =
+              static_cast<std::size_t>(std::find(names.begin(), names.end(), get.index) - names.begin());
+          json doc{{"_index", get.index}, {"_id", get.id}};
+          if (const auto hit = hits.find({get.index, get.id}); hit != hits.end()) {
+            doc["found"] = true;
+            if (hit->second.contains("_source")) doc["_source"] = hit->second["_source"];
+          } else if (ended.is_complete[slot]) {
+            doc["found"] = false;
+          } else {
+            const json error = json::parse(ended.outcomes[slot].body, nullptr, false);
+            doc["error"] = error.contains("error")
+                               ? error["error"]
+                               : json{{"type", "no_shard_available_action_exception"},
+                                      {"reason", "not every block answered, so that it may be there or not"}};
+          }
+          docs.push_back(std::move(doc));
+        }
+        return os::Outcome{200, json_text({{"docs", docs}})};
+      });
+  api_request->keeps_hits = true;
   for (Slot i = 0; i < names.size(); ++i) {
-    const auto& ids = by_index[names[i]];
-    const IndexDefinition* index = find(names[i]);
+    const auto& ids = ids_by_index[names[i]];
+    const IndexDefinition* index = find_index(names[i]);
     if (!index) {
-      j->end(i, os::fault(no_index(names[i])));
+      api_request->end_search(i, os::fault(index_not_found(names[i])));
       continue;
     }
-    os::Search s;
-    s.query = {{"ids", {{"values", ids}}}};
-    s.size = ids.size();
-    begin(j, i, *index, s, os::block_request(s), false);
+    os::Search search;
+    search.query = {{"ids", {{"values", ids}}}};
+    search.size = ids.size();
+    start_search(api_request, i, *index, search, os::block_request(search), false);
   }
-  return leaves(j);
+  return abandon_function(api_request);
 }
 
 os::Outcome OpenSearchFrontend::health() const {
-  int held = 0, blocks = 0;
-  bool all = true, full = true;
-  for (const IndexDefinition& i : indices_)
-    for (int b = 0; b < i.blocks; ++b) {
-      const std::size_t n = around_.replica_names(i.first + b).size();
-      ++blocks, held += n > 0;
-      all = all && n > 0, full = full && n > 1;
+  int held_count = 0;
+  int shard_count = 0;
+  bool is_each_held = true;
+  bool is_each_replicated = true;
+  for (const IndexDefinition& index : indices_) {
+    for (int i = 0; i < index.shard_count; ++i) {
+      const std::size_t replicas = endpoints_.replica_names(index.first_shard + i).size();
+      ++shard_count;
+      held_count += replicas > 0;
+      is_each_held = is_each_held && replicas > 0;
+      is_each_replicated = is_each_replicated && replicas > 1;
     }
-  const double percent = blocks ? 100.0 * held / blocks : 100.0;
-  return {200, text({{"cluster_name", "cairnhub"},
-                     {"status", !all   ? "red"
-                                : full ? "green"
-                                       : "yellow"},
-                     {"timed_out", false},
-                     {"number_of_nodes", around_.ready_count()},
-                     {"number_of_data_nodes", around_.ready_count()},
-                     {"active_primary_shards", held},
-                     {"unassigned_shards", blocks - held},
-                     {"active_shards_percent_as_number", percent}})};
+  }
+  const double percent = shard_count ? 100.0 * held_count / shard_count : 100.0;
+  return {200, json_text({{"cluster_name", "cairnhub"},
+                          {"status", !is_each_held        ? "red"
+                                     : is_each_replicated ? "green"
+                                                          : "yellow"},
+                          {"timed_out", false},
+                          {"number_of_nodes", endpoints_.ready_count()},
+                          {"number_of_data_nodes", endpoints_.ready_count()},
+                          {"active_primary_shards", held_count},
+                          {"unassigned_shards", shard_count - held_count},
+                          {"active_shards_percent_as_number", percent}})};
 }
 
-std::string OpenSearchFrontend::cat_shards(const std::string& name) const {
+std::string OpenSearchFrontend::cat_shards(const std::string& index_name) const {
   std::string out;
-  for (const IndexDefinition& i : indices_) {
-    if (!name.empty() && name != i.name) continue;
-    for (int b = 0; b < i.blocks; ++b) {
-      const auto holders = around_.replica_names(i.first + b);
-      const std::string head = i.name + " " + std::to_string(b) + " ";
-      for (const std::string& h : holders) out += head + "STARTED " + h + "\n";
-      if (holders.empty()) out += head + "UNASSIGNED -\n";
+  for (const IndexDefinition& index : indices_) {
+    if (!index_name.empty() && index_name != index.name) continue;
+    for (int i = 0; i < index.shard_count; ++i) {
+      const auto replicas = endpoints_.replica_names(index.first_shard + i);
+      const std::string prefix = index.name + " " + std::to_string(i) + " ";
+      for (const std::string& replica : replicas) out += prefix + "STARTED " + replica + "\n";
+      if (replicas.empty()) out += prefix + "UNASSIGNED -\n";
     }
   }
   return out;
--- a/src/frontend/opensearch/opensearch_frontend.h
+++ b/src/frontend/opensearch/opensearch_frontend.h
@@ -1,6 +1,6 @@
-// The OpenSearch-style query API on the clients' listener: searches become multigets through the core, and
-// what became of each block's sends is told in the API's words. docs/opensearch.md says what is supported.
-// Chooses nothing.
+// The frontend for the OpenSearch-style query API: runs each search as a request through the dispatcher and
+// reports the results of its attempts in the terms of the API. docs/opensearch.md lists what is supported.
+// Makes no choices of its own.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -13,58 +13,63 @@
 
 namespace cairnhub::frontend::opensearch {
 
-// As the operators declare it.
+// An index as the operator declares it.
 struct IndexDefinition {
   std::string name;
-  int first = 0, blocks = 1;  // the shards first .. first + blocks - 1
-  int op_type = 0;
-  Time timeout = kSecond;  // what a search may take where it states no less
+  int first_shard = 0;  // the index has the shards first_shard .. first_shard + shard_count - 1
+  int shard_count = 1;
+  int request_class = 0;
+  Time max_time = kSecond;  // for a search that doesn't state a shorter timeout
 };
 
-// What the front needs to know of the surroundings.
+// The state of the endpoints that the API reports.
 class EndpointView {
  public:
   virtual ~EndpointView() = default;
-  virtual std::string endpoint_name(EndpointId id) const = 0;           // empty where it isn't known any more
-  virtual std::vector<std::string> replica_names(int block) const = 0;  // names of ready nodes
-  virtual int ready_count() const = 0;                                  // ready ones
+  virtual std::string endpoint_name(EndpointId id) const = 0;  // empty where it is no longer known
+  // Returns the names of the ready endpoints that hold the shard.
+  virtual std::vector<std::string> replica_names(int shard) const = 0;
+  virtual int ready_count() const = 0;  // endpoints that are ready
 };
 
 class OpenSearchFrontend : public Frontend {
  public:
   OpenSearchFrontend(std::vector<IndexDefinition> indices, const cairnhub::opensearch::Limits& limits,
-                     dispatch::InFlightRequests& book, dispatch::RequestDispatcher& route,
-                     const EndpointView& around);
+                     dispatch::InFlightRequests& requests, dispatch::RequestDispatcher& dispatcher,
+                     const EndpointView& endpoints);
   bool handles(std::string_view path) const override;
-  std::function<void()> handle(const frontend::platform::ClientRequest& asked,
-                               std::unique_ptr<dispatch::Responder> reply) override;
+  std::function<void()> handle(const frontend::platform::ClientRequest& client_request,
+                               std::unique_ptr<dispatch::Responder> responder) override;
 
  private:
-  struct Job;
-  class Ask;
-  using Slot = std::size_t;
+  struct ApiRequest;
+  class SearchCallbacks;
+  using Slot = std::size_t;  // the place of a search in its API request
 
-  std::function<void()> search(const frontend::platform::ClientRequest& asked, const std::string& index,
-                               bool counts, std::unique_ptr<dispatch::Responder> reply);
-  std::function<void()> msearch(const frontend::platform::ClientRequest& asked, const std::string& index,
-                                std::unique_ptr<dispatch::Responder> reply);
-  std::function<void()> mget(const frontend::platform::ClientRequest& asked, const std::string& index,
-                             std::unique_ptr<dispatch::Responder> reply);
+  std::function<void()> search(const frontend::platform::ClientRequest& client_request,
+                               const std::string& index_name, bool is_count,
+                               std::unique_ptr<dispatch::Responder> responder);
+  std::function<void()> msearch(const frontend::platform::ClientRequest& client_request,
+                                const std::string& index_name,
+                                std::unique_ptr<dispatch::Responder> responder);
+  std::function<void()> mget(const frontend::platform::ClientRequest& client_request,
+                             const std::string& index_name, std::unique_ptr<dispatch::Responder> responder);
   cairnhub::opensearch::Outcome health() const;
-  std::string cat_shards(const std::string& index) const;
-  const IndexDefinition* find(const std::string& name) const;
-  void begin(const std::shared_ptr<Job>& job, Slot slot, const IndexDefinition& index,
-             const cairnhub::opensearch::Search& search, const std::string& body, bool counts);
-  static std::shared_ptr<Job> job(std::unique_ptr<dispatch::Responder> reply, std::size_t slots,
-                                  std::function<cairnhub::opensearch::Outcome(Job&)> form);
-  std::function<void()> leaves(const std::shared_ptr<Job>& job);
+  std::string cat_shards(const std::string& index_name) const;
+  const IndexDefinition* find_index(const std::string& name) const;
+  void start_search(const std::shared_ptr<ApiRequest>& api_request, Slot slot, const IndexDefinition& index,
+                    const cairnhub::opensearch::Search& search, const std::string& body, bool is_count);
+  static std::shared_ptr<ApiRequest> make_api_request(
+      std::unique_ptr<dispatch::Responder> responder, std::size_t slots,
+      std::function<cairnhub::opensearch::Outcome(ApiRequest&)> combine);
+  std::function<void()> abandon_function(const std::shared_ptr<ApiRequest>& api_request);
 
   std::vector<IndexDefinition> indices_;
   cairnhub::opensearch::Limits limits_;
-  dispatch::InFlightRequests& book_;
-  dispatch::RequestDispatcher& route_;
-  const EndpointView& around_;
-  std::uint64_t asked_ = 0;
+  dispatch::InFlightRequests& requests_;
+  dispatch::RequestDispatcher& dispatcher_;
+  const EndpointView& endpoints_;
+  std::uint64_t last_search_number_ = 0;
 };
 
 }  // namespace cairnhub::frontend::opensearch
--- a/src/frontend/platform/request_parser.cpp
+++ b/src/frontend/platform/request_parser.cpp
@@ -12,112 +12,126 @@
 
 namespace {
 
-constexpr std::size_t kLongestName = 128;
-// The parts' shares may miss 1 by so much, all together.
-constexpr double kRounding = 0.001;
-constexpr const char* kNoSuchOpType = "no such op type";
+constexpr std::size_t kMaxNameLength = 128;
+// How far the sum of the weights may be from 1.
+constexpr double kWeightTolerance = 0.001;
+// status_of() compares these two by address.
+constexpr const char* kUnknownClass = "no such op type";
 constexpr const char* kTimeIsUp = "its time was up before it was read; trying again is harmless";
 
-bool number(const char* text, double& into) {
+bool parse_number(const char* text, double& number) {
   const char* end = text + std::strlen(text);
-  const auto [at, error] = std::from_chars(text, end, into);
-  return error == std::errc{} && at == end && std::isfinite(into);
+  const auto [parsed_end, error] = std::from_chars(text, end, number);
+  return error == std::errc{} && parsed_end == end && std::isfinite(number);
 }
 
-bool plain_name(std::string_view name) {
-  if (name.empty() || name.size() > kLongestName) return false;
-  for (const char c : name)
+bool is_valid_name(std::string_view name) {
+  if (name.empty() || name.size() > kMaxNameLength) return false;
+  for (const char c : name) {
     if (c <= ' ' || c > '~') return false;
+  }
   return true;
 }
 
 }  // namespace
 
-RequestParser::RequestParser(const settings::Settings& s, dispatch::InFlightRequests& book,
-                             dispatch::RequestDispatcher& route)
-    : shards_(s.whole("family-info.ranges")), book_(book), route_(route) {
-  for (int i = 0; i < s.whole("classes.count"); ++i) {
-    const std::string at = "classes." + std::to_string(i) + ".";
-    op_types_[s.text(at + "name", "")] = {i, s.span(at + "deadline")};
+RequestParser::RequestParser(const settings::Settings& settings, dispatch::InFlightRequests& requests,
+                             dispatch::RequestDispatcher& dispatcher)
+    : shard_count_(settings.whole("family-info.ranges")), requests_(requests), dispatcher_(dispatcher) {
+  for (int i = 0; i < settings.whole("classes.count"); ++i) {
+    const std::string prefix = "classes." + std::to_string(i) + ".";
+    classes_[settings.text(prefix + "name", "")] = {i, settings.span(prefix + "deadline")};
   }
 }
 
-RequestId RequestParser::start_request(const ClientRequest& asked,
-                                       std::unique_ptr<dispatch::Responder> reply) {
-  auto query = std::make_unique<dispatch::Request>();
-  if (const char* wrong = read(asked, *query)) {
-    reply->respond(status_of(wrong), "", std::string(wrong) + "\n");
+RequestId RequestParser::start_request(const ClientRequest& client_request,
+                                       std::unique_ptr<dispatch::Responder> responder) {
+  auto request = std::make_unique<dispatch::Request>();
+  if (const char* error = parse(client_request, *request)) {
+    responder->respond(status_of(error), "", std::string(error) + "\n");
     return 0;
   }
   if (is_full()) {
-    reply->respond(503, "", "too many in hand\n");
+    responder->respond(503, "", "too many in hand\n");
     return 0;
   }
-  query->callbacks = make_request_callbacks(std::move(reply));
-  const RequestId id = book_.next_id();
-  route_.start_request(std::move(query));
+  request->callbacks = make_request_callbacks(std::move(responder));
+  const RequestId id = requests_.next_id();
+  dispatcher_.start_request(std::move(request));
   return id;
 }
 
-int RequestParser::status_of(const char* wrong) {
-  if (wrong == kNoSuchOpType) return 404;
-  return wrong == kTimeIsUp ? 503 : 400;
+int RequestParser::status_of(const char* error) {
+  if (error == kUnknownClass) return 404;
+  return error == kTimeIsUp ? 503 : 400;
 }
 
-const char* RequestParser::read(const ClientRequest& asked, dispatch::Request& q) const {
-  if (const char* wrong = parse_head(asked, q)) return wrong;
-  const auto json = nlohmann::json::parse(asked.body, nullptr, false);
+const char* RequestParser::parse(const ClientRequest& client_request, dispatch::Request& request) const {
+  if (const char* error = parse_head(client_request, request)) return error;
+  const auto json = nlohmann::json::parse(client_request.body, nullptr, false);
   if (!json.is_object()) return "the body is not a JSON object";
-  const auto text = json.find("body");
-  if (text == json.end() || !text->is_string()) return "body is missing or not text";
-  q.body = text->get<std::string>();
-  return parse_shard_requests(json, q);
+  const auto body = json.find("body");
+  if (body == json.end() || !body->is_string()) return "body is missing or not text";
+  request.body = body->get<std::string>();
+  return parse_shard_requests(json, request);
 }
 
-const char* RequestParser::parse_head(const ClientRequest& asked, dispatch::Request& q) const {
-  const auto op = op_types_.find(std::string(asked.op_type));
-  if (op == op_types_.end()) return kNoSuchOpType;
-  if (!asked.op_type_said || asked.op_type != asked.op_type_said)
+const char* RequestParser::parse_head(const ClientRequest& client_request, dispatch::Request& request) const {
+  const auto entry = classes_.find(std::string(client_request.class_name));
+  if (entry == classes_.end()) return kUnknownClass;
+  if (!client_request.class_header || client_request.class_name != client_request.class_header) {
     return "X-Lane is missing or not that of the path";
-  if (!asked.name || !plain_name(asked.name)) return "X-Txn is missing or not a plain word";
-  if (book_.contains(asked.name)) return "X-Txn is that of a request in hand";
-  double left = 0;
-  if (!asked.time_left || !number(asked.time_left, left) || left <= 0)
+  }
+  if (!client_request.name || !is_valid_name(client_request.name)) {
+    return "X-Txn is missing or not a plain word";
+  }
+  if (requests_.contains(client_request.name)) return "X-Txn is that of a request in hand";
+  double seconds_left = 0;
+  if (!client_request.time_left || !parse_number(client_request.time_left, seconds_left) ||
+      seconds_left <= 0) {
     return "X-Remaining is missing or not a time";
-  q.name = asked.name;
-  q.request_class = op->second.index;
-  q.time_left = static_cast<Time>(std::min(left, seconds(op->second.route_timeout)) * kSecond);
-  // Danger: a request that waited behind another one would be taken for longer than its client waits, and
-  // servers be told a time that is not left.
-  q.time_left = std::min(q.time_left, route_.limits(q.request_class).max_time) - asked.waited;
-  if (q.time_left <= 0) return kTimeIsUp;
-  q.is_client_retry = asked.retry && std::strcmp(asked.retry, "1") == 0;
+  }
+  request.name = client_request.name;
+  request.request_class = entry->second.index;
+  request.time_left = static_cast<Time>(std::min(seconds_left, seconds(entry->second.max_time)) * kSecond);
+  // The time that the request has waited is subtracted. Otherwise it would be worked on for longer than its
+  // client waits, and endpoints would be told of time that isn't left.
+  request.time_left =
+      std::min(request.time_left, dispatcher_.limits(request.request_class).max_time) - client_request.waited;
+  if (request.time_left <= 0) return kTimeIsUp;
+  request.is_client_retry = client_request.client_retry && std::strcmp(client_request.client_retry, "1") == 0;
   return nullptr;
 }
 
-const char* RequestParser::parse_shard_requests(const nlohmann::json& body, dispatch::Request& q) const {
-  const auto parts = body.find("buckets");
-  if (parts == body.end() || !parts->is_array() || parts->empty())
+const char* RequestParser::parse_shard_requests(const nlohmann::json& body,
+                                                dispatch::Request& request) const {
+  const auto list = body.find("buckets");
+  if (list == body.end() || !list->is_array() || list->empty()) {
     return "buckets is missing or not a list of parts";
-  std::set<int> named;
-  double sum = 0;
-  for (const auto& p : *parts) {
-    if (!p.is_object()) return "a part is not an object";
-    const auto shard = p.find("bucket"), weight = p.find("part");
-    if (shard == p.end() || !shard->is_number_unsigned() ||
-        shard->get<std::uint64_t>() >= static_cast<std::uint64_t>(shards_))
+  }
+  std::set<int> shards;
+  double weight_sum = 0;
+  for (const auto& item : *list) {
+    if (!item.is_object()) return "a part is not an object";
+    const auto shard = item.find("bucket");
+    const auto weight = item.find("part");
+    if (shard == item.end() || !shard->is_number_unsigned() ||
+        shard->get<std::uint64_t>() >= static_cast<std::uint64_t>(shard_count_)) {
       return "a part names no shard that exists";
-    if (weight == p.end() || !weight->is_number() || !std::isfinite(weight->get<double>()) ||
-        weight->get<double>() <= 0 || weight->get<double>() > 1 + kRounding)
+    }
+    if (weight == item.end() || !weight->is_number() || !std::isfinite(weight->get<double>()) ||
+        weight->get<double>() <= 0 || weight->get<double>() > 1 + kWeightTolerance) {
       return "a part's share is not a number above 0, up to 1";
-    sum += weight->get<double>();
-    if (!named.insert(shard->get<int>()).second) return "a shard is named twice";
-    auto part = std::make_unique<dispatch::ShardRequest>();
-    part->shard = shard->get<int>(), part->weight = weight->get<double>();
-    part->name = q.name + "." + std::to_string(part->shard);
-    q.shard_requests.push_back(std::move(part));
+    }
+    weight_sum += weight->get<double>();
+    if (!shards.insert(shard->get<int>()).second) return "a shard is named twice";
+    auto shard_request = std::make_unique<dispatch::ShardRequest>();
+    shard_request->shard = shard->get<int>();
+    shard_request->weight = weight->get<double>();
+    shard_request->name = request.name + "." + std::to_string(shard_request->shard);
+    request.shard_requests.push_back(std::move(shard_request));
   }
-  if (std::abs(sum - 1) > kRounding) return "the parts' shares don't add up to 1";
+  if (std::abs(weight_sum - 1) > kWeightTolerance) return "the parts' shares don't add up to 1";
   return nullptr;
 }
 
--- a/src/frontend/platform/request_parser.h
+++ b/src/frontend/platform/request_parser.h
@@ -1,5 +1,5 @@
-// The platform's form of requests: validity, hard limits. What passes is whole and well formed; choices are
-// the policy's.
+// Parses and validates requests in the platform's format, and rejects those beyond hard limits. All further
+// decisions are the policy's.
 #pragma once
 #include <nlohmann/json_fwd.hpp>
 #include <string>
@@ -11,41 +11,54 @@
 
 namespace cairnhub::frontend::platform {
 
-// What a client asked, as its protocol brought it. Null: it didn't say.
+// A client's HTTP request, not yet validated. Fields from headers are null where the header is missing or
+// repeated.
 struct ClientRequest {
-  std::string_view op_type;  // where it asked
-  const char *name, *op_type_said, *time_left, *retry;
+  std::string_view class_name;  // the request class that the path names
+  const char* name;             // X-Txn
+  const char* class_header;     // X-Lane, which repeats the request class
+  const char* time_left;        // X-Remaining, in seconds
+  const char* client_retry;     // X-Resent
   std::string_view body;
-  std::string_view method = "POST", path = {}, parameters = {};  // of the URL, as they came
-  Time waited = 0;  // since its last byte came: unread, or behind other requests of its connection
+  std::string_view method = "POST";
+  std::string_view path = {};        // of the URL, not decoded
+  std::string_view parameters = {};  // of the URL, not decoded
+  // Since its last byte arrived: unread, or behind other requests of its connection.
+  Time waited = 0;
 };
 
 class RequestParser {
  public:
-  RequestParser(const settings::Settings& s, dispatch::InFlightRequests& book,
-                dispatch::RequestDispatcher& route);
+  RequestParser(const settings::Settings& settings, dispatch::InFlightRequests& requests,
+                dispatch::RequestDispatcher& dispatcher);
 
-  // Takes it, and returns its id; or refuses it with a plain answer, and returns 0.
-  RequestId start_request(const ClientRequest& asked, std::unique_ptr<dispatch::Responder> reply);
+  // Starts a request, or responds with the reason for which it is rejected.
+  // @return its id; 0 where it is rejected
+  RequestId start_request(const ClientRequest& client_request,
+                          std::unique_ptr<dispatch::Responder> responder);
 
-  // For fronts of other forms: what is wrong, or null.
-  const char* parse_head(const ClientRequest& asked, dispatch::Request& into) const;  // all but the body
-  const char* parse_shard_requests(const nlohmann::json& body, dispatch::Request& into) const;
-  bool is_full() const { return book_.is_full(); }
-  // The HTTP status that says so of what parse_head or parse_shard_requests found wrong.
-  static int status_of(const char* wrong);
+  // Parses everything but the body. For other frontends too.
+  // @return what is wrong, or null
+  const char* parse_head(const ClientRequest& client_request, dispatch::Request& request) const;
+  // Parses the list of shards in the body. For other frontends too.
+  // @return what is wrong, or null
+  const char* parse_shard_requests(const nlohmann::json& body, dispatch::Request& request) const;
+  // Whether new requests must be rejected because those in flight take too much memory.
+  bool is_full() const { return requests_.is_full(); }
+  // Returns the HTTP status for an error that parse_head() or parse_shard_requests() returned.
+  static int status_of(const char* error);
 
  private:
-  struct OpRead {
+  struct ClassEntry {
     int index;
-    Time route_timeout;
+    Time max_time;
   };
-  const char* read(const ClientRequest& asked, dispatch::Request& into) const;
+  const char* parse(const ClientRequest& client_request, dispatch::Request& request) const;
 
-  std::unordered_map<std::string, OpRead> op_types_;
-  int shards_;
-  dispatch::InFlightRequests& book_;
-  dispatch::RequestDispatcher& route_;
+  std::unordered_map<std::string, ClassEntry> classes_;  // by name
+  int shard_count_;
+  dispatch::InFlightRequests& requests_;
+  dispatch::RequestDispatcher& dispatcher_;
 };
 
 }  // namespace cairnhub::frontend::platform
--- a/src/frontend/platform/response_writer.cpp
+++ b/src/frontend/platform/response_writer.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// The bytes as the node gave them; only what can't stand in JSON text is escaped.
-void append_text(std::string& out, std::string_view bytes) {
+// Appends the bytes as the endpoint returned them, escaping only those that JSON text doesn't allow.
+void append_escaped(std::string& out, std::string_view bytes) {
   for (const char c : bytes) {
     if (c == '"' || c == '\\') {
       out.append(1, '\\').append(1, c);
@@ -21,43 +21,44 @@
   }
 }
 
-class PlatformClient : public dispatch::RequestCallbacks {
+class PlatformCallbacks : public dispatch::RequestCallbacks {
  public:
-  explicit PlatformClient(std::unique_ptr<dispatch::Responder> reply) : reply_(std::move(reply)) {}
-  void on_response(const dispatch::Request& q, bool whole) override {
-    std::string body = std::string("{\"finished\":") + (whole ? "true" : "false") + ",\"found\":[";
-    bool first = true;
-    for (const auto& p : q.shard_requests) {
-      if (!p->value) continue;
-      body += first ? "{\"bucket\":" : ",{\"bucket\":";
-      body += std::to_string(p->shard) + ",\"item\":\"";
-      append_text(body, *p->value);
+  explicit PlatformCallbacks(std::unique_ptr<dispatch::Responder> responder)
+      : responder_(std::move(responder)) {}
+  void on_response(const dispatch::Request& request, bool is_complete) override {
+    std::string body = std::string("{\"finished\":") + (is_complete ? "true" : "false") + ",\"found\":[";
+    bool is_first = true;
+    for (const auto& shard_request : request.shard_requests) {
+      if (!shard_request->value) continue;
+      body += is_first ? "{\"bucket\":" : ",{\"bucket\":";
+      body += std::to_string(shard_request->shard) + ",\"item\":\"";
+      append_escaped(body, *shard_request->value);
       body += "\"}";
-      first = false;
+      is_first = false;
     }
-    reply_->respond(200, "", body + "]}");
+    responder_->respond(200, "", body + "]}");
   }
-  void on_rejected(const dispatch::Request&, Time come_back) override {
-    reply_->respond(503, retry_after_text(come_back), "not now; trying again is harmless\n");
+  void on_rejected(const dispatch::Request&, Time retry_after) override {
+    responder_->respond(503, retry_after_text(retry_after), "not now; trying again is harmless\n");
   }
   void on_failed(const dispatch::Request&) override {
-    reply_->respond(500, "", "given up; it may have taken effect\n");
+    responder_->respond(500, "", "given up; it may have taken effect\n");
   }
 
  private:
-  std::unique_ptr<dispatch::Responder> reply_;
+  std::unique_ptr<dispatch::Responder> responder_;
 };
 
 }  // namespace
 
 std::unique_ptr<dispatch::RequestCallbacks> make_request_callbacks(
-    std::unique_ptr<dispatch::Responder> reply) {
-  return std::make_unique<PlatformClient>(std::move(reply));
+    std::unique_ptr<dispatch::Responder> responder) {
+  return std::make_unique<PlatformCallbacks>(std::move(responder));
 }
 
-std::string retry_after_text(Time come_back) {
+std::string retry_after_text(Time retry_after) {
   char text[32] = "";
-  if (come_back > 0) std::snprintf(text, sizeof text, "%.3f", seconds(come_back));
+  if (retry_after > 0) std::snprintf(text, sizeof text, "%.3f", seconds(retry_after));
   return text;
 }
 
--- a/src/frontend/platform/response_writer.h
+++ b/src/frontend/platform/response_writer.h
@@ -1,5 +1,4 @@
-// The relaying stage: what a client of the platform's form is answered. Knows the form of answers, not the
-// connection they are written to.
+// Writes responses in the platform's format, whichever connection they go to.
 #pragma once
 #include <memory>
 #include <string>
@@ -8,9 +7,11 @@
 
 namespace cairnhub::frontend::platform {
 
+// Returns callbacks that respond to a request in the platform's format.
 std::unique_ptr<dispatch::RequestCallbacks> make_request_callbacks(
-    std::unique_ptr<dispatch::Responder> reply);
+    std::unique_ptr<dispatch::Responder> responder);
 
-std::string retry_after_text(Time come_back);  // seconds; empty where there is no advice
+// Returns the value of a Retry-After header in seconds, with decimals; empty where `retry_after` is 0.
+std::string retry_after_text(Time retry_after);
 
 }  // namespace cairnhub::frontend::platform
--- a/src/frontend/two_phase/two_phase_frontend.cpp
+++ b/src/frontend/two_phase/two_phase_frontend.cpp
@@ -11,104 +11,120 @@
 
 using nlohmann::ordered_json;
 
-ordered_json phase(const cairnhub::two_phase::Report::Phase& p) {
-  return {{"asked", p.asked}, {"answered", p.answered}, {"missing", p.missing}, {"whole", p.whole}};
+ordered_json phase_json(const cairnhub::two_phase::Report::Phase& phase) {
+  return {{"asked", phase.asked},
+          {"answered", phase.answered},
+          {"missing", phase.missing},
+          {"whole", phase.whole}};
 }
 
-// The client of one two-phase multiget: what came of it, in JSON. Details go in as the bytes that hosts gave.
-class Waiting : public dispatch::TwoPhaseCallbacks {
+// Responds to a two-phase query in JSON. Details are inserted as the bytes that endpoints returned.
+class JsonCallbacks : public dispatch::TwoPhaseCallbacks {
  public:
-  explicit Waiting(std::unique_ptr<dispatch::Responder> reply) : reply_(std::move(reply)) {}
-  void on_response(const cairnhub::two_phase::Plan& plan, bool whole) override {
-    const cairnhub::two_phase::Report r = plan.report();
-    ordered_json head{{"whole", whole}, {"why", r.why}, {"match", phase(r.match)}, {"fetch", phase(r.fetch)}};
-    head["match"]["blocks"] = r.blocks;
-    head["match"]["pruned"] = r.pruned;
-    head["match"]["matches"] = r.matches;
-    head["match"]["again"] = r.rematched;
+  explicit JsonCallbacks(std::unique_ptr<dispatch::Responder> responder) : responder_(std::move(responder)) {}
+  void on_response(const cairnhub::two_phase::Plan& plan, bool is_complete) override {
+    const cairnhub::two_phase::Report report = plan.report();
+    ordered_json head{{"whole", is_complete},
+                      {"why", report.why},
+                      {"match", phase_json(report.match)},
+                      {"fetch", phase_json(report.fetch)}};
+    head["match"]["blocks"] = report.blocks;
+    head["match"]["pruned"] = report.pruned;
+    head["match"]["matches"] = report.matches;
+    head["match"]["again"] = report.rematched;
     ordered_json versions = ordered_json::object();
-    for (int b = 0; b < r.blocks; ++b)
-      if (const auto v = plan.version_of(b); !v.empty()) versions[std::to_string(plan.block(b).shard)] = v;
+    for (int i = 0; i < report.blocks; ++i) {
+      if (const auto version = plan.version_of(i); !version.empty()) {
+        versions[std::to_string(plan.block(i).shard)] = version;
+      }
+    }
     head["match"]["versions"] = std::move(versions);
     std::string body = head.dump();
     body.back() = ',';
     body += "\"stalls\":[";
-    bool first = true;
-    plan.each_stall([&](int block, const std::string& id, double score, std::string_view detail) {
-      if (!std::exchange(first, false)) body += ',';
-      body += ordered_json{{"block", block}, {"stall", id}, {"score", score}}.dump();
+    bool is_first = true;
+    plan.each_stall([&](int shard, const std::string& id, double score, std::string_view detail) {
+      if (!std::exchange(is_first, false)) body += ',';
+      body += ordered_json{{"block", shard}, {"stall", id}, {"score", score}}.dump();
       if (detail.empty()) return;
       body.back() = ',';
       body.append("\"detail\":").append(detail) += '}';
     });
-    reply_->respond(200, "", body + "]}");
+    responder_->respond(200, "", body + "]}");
   }
-  void on_rejected(Time come_back) override {
-    reply_->respond(503, frontend::platform::retry_after_text(come_back),
-                    "not now; trying again is harmless\n");
+  void on_rejected(Time retry_after) override {
+    responder_->respond(503, frontend::platform::retry_after_text(retry_after),
+                        "not now; trying again is harmless\n");
   }
 
  private:
-  std::unique_ptr<dispatch::Responder> reply_;
+  std::unique_ptr<dispatch::Responder> responder_;
 };
 
-// Milliseconds, decimals allowed.
-bool budget(const nlohmann::json& v, std::optional<Time>& into) {
-  if (!v.is_number() || !(v.get<double>() > 0) || v.get<double>() > 1e9) return false;
-  into = static_cast<Time>(std::llround(v.get<double>() * 1e6));
+// Parses a number of milliseconds, which may have decimals.
+bool parse_budget(const nlohmann::json& value, std::optional<Time>& budget) {
+  if (!value.is_number() || !(value.get<double>() > 0) || value.get<double>() > 1e9) return false;
+  budget = static_cast<Time>(std::llround(value.get<double>() * 1e6));
   return true;
 }
 
 }  // namespace
 
-std::string parse_body(std::string_view text, const frontend::platform::RequestParser& admit,
-                       dispatch::Request& parts, cairnhub::two_phase::Query& into) {
+std::string parse_body(std::string_view text, const frontend::platform::RequestParser& request_parser,
+                       dispatch::Request& request, cairnhub::two_phase::Query& query) {
   const auto body = nlohmann::json::parse(text, nullptr, false);
   if (!body.is_object()) return "the body is not a JSON object";
-  bool asks = false;
-  for (const auto& [key, v] : body.items()) {
+  bool has_query = false;
+  for (const auto& [key, value] : body.items()) {
     if (key == "buckets") continue;
     if (key == "query") {
-      if (!v.is_string()) return "query is not text";
-      into.text = v.get<std::string>(), asks = true;
+      if (!value.is_string()) return "query is not text";
+      query.text = value.get<std::string>();
+      has_query = true;
     } else if (key == "limit") {
-      if (!v.is_number_unsigned()) return "limit is not a whole number from 0 up";
-      into.limit = v.get<std::size_t>();
+      if (!value.is_number_unsigned()) return "limit is not a whole number from 0 up";
+      query.limit = value.get<std::size_t>();
     } else if (key == "match_ms") {
-      if (!budget(v, into.match_budget)) return "match_ms is not a number of milliseconds above 0";
+      if (!parse_budget(value, query.match_budget)) return "match_ms is not a number of milliseconds above 0";
     } else if (key == "fetch_ms") {
-      if (!budget(v, into.fetch_budget)) return "fetch_ms is not a number of milliseconds above 0";
+      if (!parse_budget(value, query.fetch_budget)) return "fetch_ms is not a number of milliseconds above 0";
     } else {
       return "'" + key.substr(0, 40) + "' is not known here";
     }
   }
-  if (!asks) return "query is missing";
-  if (const char* wrong = admit.parse_shard_requests(body, parts)) return wrong;
-  for (const auto& p : parts.shard_requests) into.blocks.push_back({p->shard, p->weight});
+  if (!has_query) return "query is missing";
+  if (const char* error = request_parser.parse_shard_requests(body, request)) return error;
+  for (const auto& shard_request : request.shard_requests) {
+    query.blocks.push_back({shard_request->shard, shard_request->weight});
+  }
   return "";
 }
 
-std::function<void()> TwoPhaseFrontend::handle(const frontend::platform::ClientRequest& said,
-                                               std::unique_ptr<dispatch::Responder> reply) {
-  frontend::platform::ClientRequest asked = said;
-  asked.op_type = said.path.substr(kPath.size());
-  if (said.method != "POST") return reply->respond(405, "", "only POST here\n"), nullptr;
-  dispatch::Request head;
+std::function<void()> TwoPhaseFrontend::handle(const frontend::platform::ClientRequest& client_request,
+                                               std::unique_ptr<dispatch::Responder> responder) {
+  frontend::platform::ClientRequest class_request = client_request;
+  class_request.class_name = client_request.path.substr(kPathPrefix.size());
+  if (client_request.method != "POST") {
+    responder->respond(405, "", "only POST here\n");
+    return nullptr;
+  }
+  dispatch::Request request;
   cairnhub::two_phase::Query query;
-  if (const char* wrong = admit_.parse_head(asked, head)) {
-    reply->respond(frontend::platform::RequestParser::status_of(wrong), "", std::string(wrong) + "\n");
-  } else if (!phased_.is_allowed(head.request_class)) {
-    reply->respond(403, "", "two-phase multigets of this op type are not allowed\n");
-  } else if (phased_.contains(head.name)) {
-    reply->respond(400, "", "X-Txn is that of a request in hand\n");
-  } else if (const std::string wrong = parse_body(asked.body, admit_, head, query); !wrong.empty()) {
-    reply->respond(400, "", wrong + "\n");
-  } else if (admit_.is_full()) {
-    reply->respond(503, "", "too many in hand\n");
+  if (const char* error = request_parser_.parse_head(class_request, request)) {
+    responder->respond(frontend::platform::RequestParser::status_of(error), "", std::string(error) + "\n");
+  } else if (!runner_.is_allowed(request.request_class)) {
+    responder->respond(403, "", "two-phase multigets of this op type are not allowed\n");
+  } else if (runner_.contains(request.name)) {
+    responder->respond(400, "", "X-Txn is that of a request in hand\n");
+  } else if (const std::string error = parse_body(class_request.body, request_parser_, request, query);
+             !error.empty()) {
+    responder->respond(400, "", error + "\n");
+  } else if (request_parser_.is_full()) {
+    responder->respond(503, "", "too many in hand\n");
   } else {
-    query.left = head.time_left;
-    return phased_.start(head.name, head.request_class, head.is_client_retry, std::move(query),
-                         std::make_unique<Waiting>(std::move(reply)));
+    query.left = request.time_left;
+    return runner_.start(request.name, request.request_class, request.is_client_retry, std::move(query),
+                         std::make_unique<JsonCallbacks>(std::move(responder)));
   }
   return nullptr;
 }
--- a/src/frontend/two_phase/two_phase_frontend.h
+++ b/src/frontend/two_phase/two_phase_frontend.h
@@ -1,5 +1,5 @@
-// The two-phase form on the clients' listener: POST /_two-phase/OP, JSON; docs/two-phase.md tells it. Reads
-// what is asked and writes the answer; chooses nothing.
+// The frontend for two-phase queries: POST /_two-phase/OP with a JSON body, see docs/two-phase.md. Parses
+// requests and writes responses; makes no choices of its own.
 #pragma once
 #include "dispatch/two_phase_runner.h"
 #include "frontend/http/http_server.h"
@@ -8,20 +8,22 @@
 
 class TwoPhaseFrontend : public Frontend {
  public:
-  TwoPhaseFrontend(frontend::platform::RequestParser& admit, dispatch::TwoPhaseRunner& phased)
-      : admit_(admit), phased_(phased) {}
-  bool handles(std::string_view path) const override { return path.rfind(kPath, 0) == 0; }
-  std::function<void()> handle(const frontend::platform::ClientRequest& asked,
-                               std::unique_ptr<dispatch::Responder> reply) override;
+  TwoPhaseFrontend(frontend::platform::RequestParser& request_parser, dispatch::TwoPhaseRunner& runner)
+      : request_parser_(request_parser), runner_(runner) {}
+  bool handles(std::string_view path) const override { return path.rfind(kPathPrefix, 0) == 0; }
+  std::function<void()> handle(const frontend::platform::ClientRequest& client_request,
+                               std::unique_ptr<dispatch::Responder> responder) override;
 
  private:
-  static constexpr std::string_view kPath = "/_two-phase/";
-  frontend::platform::RequestParser& admit_;
-  dispatch::TwoPhaseRunner& phased_;
+  static constexpr std::string_view kPathPrefix = "/_two-phase/";
+  frontend::platform::RequestParser& request_parser_;
+  dispatch::TwoPhaseRunner& runner_;
 };
 
-// What is wrong with a request's body, or empty. Every member must be known, and of its kind.
-std::string parse_body(std::string_view body, const frontend::platform::RequestParser& admit,
-                       dispatch::Request& parts, cairnhub::two_phase::Query& into);
+// Parses the JSON body of a two-phase query. Unknown members and members of the wrong type are errors.
+// @param request gets the shard requests
+// @return what is wrong, or empty
+std::string parse_body(std::string_view text, const frontend::platform::RequestParser& request_parser,
+                       dispatch::Request& request, cairnhub::two_phase::Query& query);
 
 }  // namespace cairnhub::frontend::two_phase
