--- a/src/cli/accord.cpp
+++ b/src/cli/accord.cpp
@@ -23,270 +23,327 @@
 
 namespace {
 
+// @return the text with four spaces in front of each line
 std::string indented(const std::string& text) {
-  std::string out;
-  for (std::size_t at = 0; at < text.size();) {
-    const auto end = std::min(text.find('\n', at), text.size());
-    out += "    " + text.substr(at, end - at) + "\n";
-    at = end + 1;
+  std::string indented_text;
+  for (std::size_t start = 0; start < text.size();) {
+    const auto end = std::min(text.find('\n', start), text.size());
+    indented_text += "    " + text.substr(start, end - start) + "\n";
+    start = end + 1;
   }
-  return out;
+  return indented_text;
 }
 
+// @return the strings of a JSON array, with commas between them
 std::string joined(const json& list) {
-  std::string out;
-  for (const auto& x : list) out += (out.empty() ? "" : ", ") + x.get<std::string>();
-  return out;
+  std::string names;
+  for (const auto& name : list) names += (names.empty() ? "" : ", ") + name.get<std::string>();
+  return names;
 }
 
-int show_peers(const Said& s) {
-  int status = kDone;
-  const auto j = fetch(s, "/peers", status);
-  if (!j) return status;
-  if (s.as_json) return std::printf("%s\n", j->dump(2).c_str()), kDone;
-  std::printf("%s: %llu others alive, local health %lld\n", (*j)["name"].get<std::string>().c_str(),
-              (*j)["alive"].get<unsigned long long>(), (*j)["local_health"].get<long long>());
-  for (const auto& p : (*j)["peers"])
-    std::printf("  %-20s %-8s %s%s\n", p["name"].get<std::string>().c_str(),
-                p["health"].get<std::string>().c_str(), p["address"].get<std::string>().c_str(),
-                p["stated"].get<bool>() ? " (stated)" : "");
-  const auto& l = (*j)["lists"];
-  std::printf("list: revision %llu%s, withholding %llu by hearsay\n", l["own"].get<unsigned long long>(),
-              l["behind"].get<bool>()
-                  ? (", BEHIND " + std::to_string(l["newest"].get<unsigned long long>())).c_str()
+int show_peers(const ClientOptions& options) {
+  int status = kSuccess;
+  const auto response = fetch(options, "/peers", status);
+  if (!response) return status;
+  if (options.prints_json) {
+    std::printf("%s\n", response->dump(2).c_str());
+    return kSuccess;
+  }
+  std::printf("%s: %llu others alive, local health %lld\n", (*response)["name"].get<std::string>().c_str(),
+              (*response)["alive"].get<unsigned long long>(), (*response)["local_health"].get<long long>());
+  for (const auto& peer : (*response)["peers"]) {
+    std::printf("  %-20s %-8s %s%s\n", peer["name"].get<std::string>().c_str(),
+                peer["health"].get<std::string>().c_str(), peer["address"].get<std::string>().c_str(),
+                peer["stated"].get<bool>() ? " (stated)" : "");
+  }
+  const auto& lists = (*response)["lists"];
+  std::printf("list: revision %llu%s, withholding %llu by hearsay\n", lists["own"].get<unsigned long long>(),
+              lists["behind"].get<bool>()
+                  ? (", BEHIND " + std::to_string(lists["newest"].get<unsigned long long>())).c_str()
                   : "",
-              l["withholding"].get<unsigned long long>());
-  return kDone;
+              lists["withholding"].get<unsigned long long>());
+  return kSuccess;
 }
 
-int show_status(const Said& s) {
-  int status = kDone;
-  const auto j = fetch(s, "/accord/status", status);
-  if (!j) return status;
-  if (s.as_json) return std::printf("%s\n", j->dump(2).c_str()), kDone;
-  const auto& on = (*j)["acts_on"];
-  if (on.is_object()) {
-    const auto low = on["low"].get<unsigned long long>(), high = on["high"].get<unsigned long long>();
-    if (low == high)
-      std::printf("%s acts on version %llu", (*j)["name"].get<std::string>().c_str(), low);
-    else
+int show_status(const ClientOptions& options) {
+  int status = kSuccess;
+  const auto response = fetch(options, "/accord/status", status);
+  if (!response) return status;
+  if (options.prints_json) {
+    std::printf("%s\n", response->dump(2).c_str());
+    return kSuccess;
+  }
+  const auto& active = (*response)["acts_on"];
+  if (active.is_object()) {
+    const auto low = active["low"].get<unsigned long long>();
+    const auto high = active["high"].get<unsigned long long>();
+    if (low == high) {
+      std::printf("%s acts on version %llu", (*response)["name"].get<std::string>().c_str(), low);
+    } else {
       std::printf("%s acts on what versions %llu to %llu have in common",
-                  (*j)["name"].get<std::string>().c_str(), low, high);
-    std::printf(", its lease runs %.0f ms on\n", (*j)["lease_left_ms"].get<double>());
+                  (*response)["name"].get<std::string>().c_str(), low, high);
+    }
+    std::printf(", its lease runs %.0f ms on\n", (*response)["lease_left_ms"].get<double>());
   } else {
     std::printf("%s has NO LEASE and acts on the common ground, %llu\n",
-                (*j)["name"].get<std::string>().c_str(), (*j)["ground"].get<unsigned long long>());
+                (*response)["name"].get<std::string>().c_str(),
+                (*response)["ground"].get<unsigned long long>());
   }
-  const std::string leader = (*j)["leader"].get<std::string>();
+  const std::string leader = (*response)["leader"].get<std::string>();
   std::printf("leader: %s%s\n", leader.empty() ? "not known" : leader.c_str(),
-              (*j)["leads"].get<bool>() ? " (this one)" : "");
-  if ((*j)["store_failed"].get<bool>()) std::printf("its store FAILED: it votes no more\n");
+              (*response)["leads"].get<bool>() ? " (this one)" : "");
+  if ((*response)["store_failed"].get<bool>()) std::printf("its store FAILED: it votes no more\n");
   std::string voters;
-  for (const auto& v : (*j)["voters"])
-    voters += (voters.empty() ? "" : ", ") + v["name"].get<std::string>() +
-              (v["votes"].get<bool>() ? "" : " (not yet)");
+  for (const auto& voter : (*response)["voters"]) {
+    voters += (voters.empty() ? "" : ", ") + voter["name"].get<std::string>() +
+              (voter["votes"].get<bool>() ? "" : " (not yet)");
+  }
   if (!voters.empty())
-    std::printf("voters: %s; term %llu\n", voters.c_str(), (*j)["term"].get<unsigned long long>());
-  const std::string force = joined((*j)["force_waits_for"]), ground = joined((*j)["ground_waits_for"]);
-  if (!force.empty()) std::printf("a newer version waits for: %s\n", force.c_str());
-  if (!ground.empty()) std::printf("a new ground waits for: %s\n", ground.c_str());
-  std::printf("rules %s:\n%s", (*j)["hash"].get<std::string>().c_str(),
-              indented((*j)["rules"].get<std::string>()).c_str());
-  return kDone;
+    std::printf("voters: %s; term %llu\n", voters.c_str(), (*response)["term"].get<unsigned long long>());
+  const std::string delaying_version = joined((*response)["force_waits_for"]);
+  const std::string delaying_baseline = joined((*response)["ground_waits_for"]);
+  if (!delaying_version.empty()) std::printf("a newer version waits for: %s\n", delaying_version.c_str());
+  if (!delaying_baseline.empty()) std::printf("a new ground waits for: %s\n", delaying_baseline.c_str());
+  std::printf("rules %s:\n%s", (*response)["hash"].get<std::string>().c_str(),
+              indented((*response)["rules"].get<std::string>()).c_str());
+  return kSuccess;
 }
 
-int show_history(const Said& s) {
-  int status = kDone;
-  const auto j = fetch(s, "/accord/history", status);
-  if (!j) return status;
-  if (s.as_json) return std::printf("%s\n", j->dump(2).c_str()), kDone;
-  const auto line = [](const char* what, const json& v) {
-    std::printf("%s %llu %s %s: %s\n", what, v["number"].get<unsigned long long>(),
-                v["hash"].get<std::string>().c_str(), v["who"].get<std::string>().c_str(),
-                v["why"].get<std::string>().c_str());
+int show_history(const ClientOptions& options) {
+  int status = kSuccess;
+  const auto response = fetch(options, "/accord/history", status);
+  if (!response) return status;
+  if (options.prints_json) {
+    std::printf("%s\n", response->dump(2).c_str());
+    return kSuccess;
+  }
+  const auto print_version = [](const char* label, const json& version) {
+    std::printf("%s %llu %s %s: %s\n", label, version["number"].get<unsigned long long>(),
+                version["hash"].get<std::string>().c_str(), version["who"].get<std::string>().c_str(),
+                version["why"].get<std::string>().c_str());
   };
-  for (const auto& v : (*j)["versions"]) line("version", v);
-  line("ground", (*j)["ground"]);
-  if (j->contains("ground_next")) line("next ground", (*j)["ground_next"]);
-  return kDone;
+  for (const auto& version : (*response)["versions"]) print_version("version", version);
+  print_version("ground", (*response)["ground"]);
+  if (response->contains("ground_next")) print_version("next ground", (*response)["ground_next"]);
+  return kSuccess;
 }
 
-std::optional<std::string> rules_of(const json& history, std::uint64_t number) {
-  for (const auto& v : history["versions"])
-    if (v["number"].get<std::uint64_t>() == number) return v["rules"].get<std::string>();
+// @param history the response of /accord/history
+// @return the rules of one version, as text; nothing where the broker doesn't know the version
+std::optional<std::string> rules_of_version(const json& history, std::uint64_t number) {
+  for (const auto& version : history["versions"]) {
+    if (version["number"].get<std::uint64_t>() == number) return version["rules"].get<std::string>();
+  }
   return std::nullopt;
 }
 
-std::set<std::string> lines(const std::string& text) {
-  std::set<std::string> all;
-  // By field rather than by line, so that one op type's rules stay together.
+// Splits rules in protobuf text into their top-level fields, each on one line, so that the rules of one op
+// type stay together in a diff.
+std::set<std::string> top_level_fields(const std::string& text) {
+  std::set<std::string> fields;
   std::string field;
   int depth = 0;
-  for (std::size_t at = 0; at < text.size();) {
-    const auto end = std::min(text.find('\n', at), text.size());
-    const std::string line = text.substr(at, end - at);
-    at = end + 1;
+  for (std::size_t start = 0; start < text.size();) {
+    const auto end = std::min(text.find('\n', start), text.size());
+    const std::string line = text.substr(start, end - start);
+    start = end + 1;
     const auto first = line.find_first_not_of(' ');
     if (first == std::string::npos) continue;
     field += (field.empty() ? "" : " ") + line.substr(first);
     if (line.back() == '{') ++depth;
     if (line.back() == '}') --depth;
-    if (depth == 0) all.insert(std::exchange(field, {}));
+    if (depth == 0) fields.insert(std::exchange(field, {}));
   }
-  return all;
+  return fields;
 }
 
-int diff(const Said& s) {
-  int status = kDone;
-  const auto j = fetch(s, "/accord/history", status);
-  if (!j) return status;
-  const auto a = rules_of(*j, s.number), b = rules_of(*j, s.other);
-  if (!a || !b)
-    return complain(kRefused, "version " + std::to_string(a ? s.other : s.number) + " is not known there");
-  const auto left = lines(*a), right = lines(*b);
-  json out{{"removed", json::array()}, {"added", json::array()}};
-  for (const auto& l : left)
-    if (!right.count(l)) out["removed"].push_back(l);
-  for (const auto& l : right)
-    if (!left.count(l)) out["added"].push_back(l);
-  if (s.as_json) return std::printf("%s\n", out.dump(2).c_str()), kDone;
-  for (const auto& l : out["removed"]) std::printf("- %s\n", l.get<std::string>().c_str());
-  for (const auto& l : out["added"]) std::printf("+ %s\n", l.get<std::string>().c_str());
-  return kDone;
+int diff(const ClientOptions& options) {
+  int status = kSuccess;
+  const auto response = fetch(options, "/accord/history", status);
+  if (!response) return status;
+  const auto old_rules = rules_of_version(*response, options.number);
+  const auto new_rules = rules_of_version(*response, options.other_version);
+  if (!old_rules || !new_rules) {
+    return report_error(kFailure, "version " +
+                                      std::to_string(old_rules ? options.other_version : options.number) +
+                                      " is not known there");
+  }
+  const auto old_fields = top_level_fields(*old_rules);
+  const auto new_fields = top_level_fields(*new_rules);
+  json changes{{"removed", json::array()}, {"added", json::array()}};
+  for (const auto& field : old_fields) {
+    if (!new_fields.count(field)) changes["removed"].push_back(field);
+  }
+  for (const auto& field : new_fields) {
+    if (!old_fields.count(field)) changes["added"].push_back(field);
+  }
+  if (options.prints_json) {
+    std::printf("%s\n", changes.dump(2).c_str());
+    return kSuccess;
+  }
+  for (const auto& field : changes["removed"]) std::printf("- %s\n", field.get<std::string>().c_str());
+  for (const auto& field : changes["added"]) std::printf("+ %s\n", field.get<std::string>().c_str());
+  return kSuccess;
 }
 
-// `undo_of`: not 0: the rules of that version are proposed anew, on top of the newest.
-int propose_rules(Said s, bool ground, std::uint64_t undo_of) {
-  int status = kDone;
-  const auto history = fetch(s, "/accord/history", status);
+// Proposes rules as the next version or the next baseline.
+// @param undo_of the version whose rules are proposed again, on top of the newest; 0: read the rules from the
+//   file
+int propose_rules(ClientOptions options, bool is_baseline, std::uint64_t undo_of) {
+  int status = kSuccess;
+  const auto history = fetch(options, "/accord/history", status);
   if (!history) return status;
   std::string text;
   if (undo_of) {
-    const auto rules = rules_of(*history, undo_of);
-    if (!rules) return complain(kRefused, "version " + std::to_string(undo_of) + " is not known there");
+    const auto rules = rules_of_version(*history, undo_of);
+    if (!rules) return report_error(kFailure, "version " + std::to_string(undo_of) + " is not known there");
     text = *rules;
-    if (s.why.empty()) s.why = "back to version " + std::to_string(undo_of);
+    if (options.why.empty()) options.why = "back to version " + std::to_string(undo_of);
   } else {
-    std::ifstream in(s.file, std::ios::binary);
-    if (!in) return complain(kRefused, s.file + ": can't be read");
-    text.assign(std::istreambuf_iterator<char>(in), {});
-    shared_config::parse_rules(text, s.file);  // its faults are told with their place
+    std::ifstream file(options.rules_path, std::ios::binary);
+    if (!file) return report_error(kFailure, options.rules_path + ": can't be read");
+    text.assign(std::istreambuf_iterator<char>(file), {});
+    shared_config::parse_rules(text, options.rules_path);  // throws with the line of an error
   }
-  std::uint64_t base = s.base;
-  if (!base)
-    base = ground ? (*history)["ground"]["number"].get<std::uint64_t>()
-                  : history->at("versions").back()["number"].get<std::uint64_t>();
-  return propose(s, {{"kind", ground ? "ground" : "version"},
-                     {"rules", text},
-                     {"base", base},
-                     {"who", s.who},
-                     {"why", s.why},
-                     {"id", s.id.empty() ? fresh_id() : s.id}});
+  std::uint64_t base = options.base_version;
+  if (!base) {
+    base = is_baseline ? (*history)["ground"]["number"].get<std::uint64_t>()
+                       : history->at("versions").back()["number"].get<std::uint64_t>();
+  }
+  return submit_proposal(options, {{"kind", is_baseline ? "ground" : "version"},
+                                   {"rules", text},
+                                   {"base", base},
+                                   {"who", options.who},
+                                   {"why", options.why},
+                                   {"id", options.id.empty() ? random_proposal_id() : options.id}});
 }
 
-// The fleet's options with the folder to work on, the broker being stopped.
-std::unique_ptr<shared_config::Kept> folder_of(const options::Options& o, std::uint64_t id) {
-  if (!o.fleet || !o.fleet->accord || o.fleet->accord->folder.empty())
-    throw std::runtime_error(o.file + ": states no accord with a folder");
-  std::string aside;
-  auto store = shared_config::Kept::open(o.fleet->accord->folder, id, &aside);
-  if (!aside.empty())
-    std::fprintf(stderr, "cairnhub: the store was damaged and is set aside as %s\n", aside.c_str());
+// Opens the store in the folder that the options state. The broker must be stopped.
+// @param voter_id for a store that is created here
+// @throws std::runtime_error where the options state no folder
+std::unique_ptr<shared_config::Kept> open_store(const options::Options& broker_options,
+                                                std::uint64_t voter_id) {
+  if (!broker_options.fleet || !broker_options.fleet->accord || broker_options.fleet->accord->folder.empty())
+    throw std::runtime_error(broker_options.file + ": states no accord with a folder");
+  std::string damaged_path;
+  auto store = shared_config::Kept::open(broker_options.fleet->accord->folder, voter_id, &damaged_path);
+  if (!damaged_path.empty())
+    std::fprintf(stderr, "cairnhub: the store was damaged and is set aside as %s\n", damaged_path.c_str());
   return store;
 }
 
-int init(const Said& s) {
-  const auto o = options::read(s.options);
-  if (!o.fleet || !o.fleet->accord) throw std::runtime_error(o.file + ": states no accord");
-  const auto& voters = o.fleet->accord->voters;
-  if (std::find(voters.begin(), voters.end(), o.fleet->name) == voters.end())
-    return complain(kRefused, o.fleet->name + " is not among the voters stated");
-  if (shared_config::Kept::there(o.fleet->accord->folder))
-    return complain(kRefused, o.fleet->accord->folder + " holds a store already; nothing is changed");
-  const auto store = folder_of(o, shared_config::first_voter_id(o.fleet->name));
-  std::vector<shared_config::Voter> first;
-  for (const auto& v : voters) first.push_back({shared_config::first_voter_id(v), v, true});
-  if (!shared_config::Engine::bootstrap(*store, first))
-    return complain(kRefused, "the store can't be written");
+// Creates the store of one of the first voters.
+int init(const ClientOptions& options) {
+  const auto broker_options = options::read(options.options_path);
+  if (!broker_options.fleet || !broker_options.fleet->accord)
+    throw std::runtime_error(broker_options.file + ": states no accord");
+  const auto& voters = broker_options.fleet->accord->voters;
+  if (std::find(voters.begin(), voters.end(), broker_options.fleet->name) == voters.end())
+    return report_error(kFailure, broker_options.fleet->name + " is not among the voters stated");
+  if (shared_config::Kept::there(broker_options.fleet->accord->folder)) {
+    return report_error(kFailure,
+                        broker_options.fleet->accord->folder + " holds a store already; nothing is changed");
+  }
+  const auto store = open_store(broker_options, shared_config::first_voter_id(broker_options.fleet->name));
+  std::vector<shared_config::Voter> first_voters;
+  for (const auto& voter : voters)
+    first_voters.push_back({shared_config::first_voter_id(voter), voter, true});
+  if (!shared_config::Engine::bootstrap(*store, first_voters))
+    return report_error(kFailure, "the store can't be written");
   std::printf("%s is a voter of %zu; init the others with the same voters, once each, then start them\n",
-              o.fleet->name.c_str(), voters.size());
-  return kDone;
+              broker_options.fleet->name.c_str(), voters.size());
+  return kSuccess;
 }
 
-int recover(const Said& s) {
-  if (!s.sure)
-    return complain(
-        kUsage,
+// Makes the voter in the folder the only one, after a majority of voters is lost for good.
+int recover(const ClientOptions& options) {
+  if (!options.confirms_majority_lost) {
+    return report_error(
+        kInvalidArguments,
         "recover makes this store's log the only truth: what other voters alone held is lost, and it "
         "must be run at one voter only, with all others stopped for good; add --a-majority-is-lost");
-  const auto o = options::read(s.options);
-  const auto store = folder_of(o, 1);
-  if (store->loaded().term == 0) return complain(kRefused, "this store holds no log");
-  if (!shared_config::Engine::force_voters(*store, {{store->loaded().voter_id, o.fleet->name, true}}))
-    return complain(kRefused, "the store can't be written");
+  }
+  const auto broker_options = options::read(options.options_path);
+  const auto store = open_store(broker_options, 1);
+  if (store->loaded().term == 0) return report_error(kFailure, "this store holds no log");
+  if (!shared_config::Engine::force_voters(*store,
+                                           {{store->loaded().voter_id, broker_options.fleet->name, true}}))
+    return report_error(kFailure, "the store can't be written");
   std::printf("%s is the only voter now; the others begin with empty folders and are taken in one by one\n",
-              o.fleet->name.c_str());
-  return kDone;
+              broker_options.fleet->name.c_str());
+  return kSuccess;
 }
 
 }  // namespace
 
 void add_accord(CLI::App& app, int& status) {
-  auto said = std::make_shared<Said>();
-  auto* peers = app.add_subcommand("peers", "who the other brokers are, as one of them knows");
-  where(peers, said);
-  run(peers, status, [said] { return show_peers(*said); });
+  auto options = std::make_shared<ClientOptions>();
+  auto* peers = app.add_subcommand("peers", "show the other brokers, as one broker sees them");
+  add_connection_options(peers, options);
+  set_action(peers, status, [options] { return show_peers(*options); });
 
-  auto* accord = app.add_subcommand("accord", "what brokers agree on");
+  auto* accord = app.add_subcommand("accord", "show and change the rules that all brokers share");
   accord->require_subcommand(1);
   accord->footer(
-      "Exit status: 0 done, 1 refused or wrong, 2 unusable arguments, 3 no answer, 4 not known whether it "
-      "was taken.");
-  auto* st = accord->add_subcommand("status", "what a broker acts on, and what is being waited for");
-  where(st, said);
-  run(st, status, [said] { return show_status(*said); });
-  auto* hist = accord->add_subcommand("history", "the versions, oldest first");
-  where(hist, said);
-  run(hist, status, [said] { return show_history(*said); });
-  auto* d = accord->add_subcommand("diff", "what two versions differ in");
-  where(d, said);
-  d->add_option("A", said->number, "a version")->required();
-  d->add_option("B", said->other, "another")->required();
-  run(d, status, [said] { return diff(*said); });
-  auto* p =
-      accord->add_subcommand("propose", "make a file of rules the next version, or the next common ground");
-  where(p, said);
-  by(p, said, true);
-  p->add_option("FILE", said->file, "rules in protobuf text")->required();
-  p->add_option("--base", said->base, "the version (or ground) it follows; absent: the newest known there");
-  p->add_flag("--ground", said->ground, "it is a ground");
-  run(p, status, [said] { return propose_rules(*said, said->ground, 0); });
-  auto* u = accord->add_subcommand("undo", "propose the rules of an earlier version anew");
-  where(u, said);
-  by(u, said, false);
-  u->add_option("VERSION", said->number, "whose rules come back")->required();
-  run(u, status, [said] { return propose_rules(*said, false, said->number); });
-  auto* k =
-      accord->add_subcommand("strike", "a broker that never comes back: no ground waits for it any more");
-  where(k, said);
-  by(k, said, true);
-  k->add_option("NAME", said->name, "of the broker")->required();
-  run(k, status, [said] {
-    return propose(*said, {{"kind", "strike"},
-                           {"name", said->name},
-                           {"who", said->who},
-                           {"why", said->why},
-                           {"id", said->id.empty() ? fresh_id() : said->id}});
+      "Exit status: 0 success; 1 failure, or the proposal was rejected; 2 invalid arguments; 3 no response "
+      "from the broker; "
+      "4 not known whether the proposal was accepted.");
+  auto* status_command = accord->add_subcommand(
+      "status", "show the rules in effect at a broker, and the brokers that delay newer ones");
+  add_connection_options(status_command, options);
+  set_action(status_command, status, [options] { return show_status(*options); });
+  auto* history_command = accord->add_subcommand("history", "list the versions, oldest first");
+  add_connection_options(history_command, options);
+  set_action(history_command, status, [options] { return show_history(*options); });
+  auto* diff_command = accord->add_subcommand("diff", "show the differences between two versions");
+  add_connection_options(diff_command, options);
+  diff_command->add_option("A", options->number, "the old version")->required();
+  diff_command->add_option("B", options->other_version, "the new version")->required();
+  set_action(diff_command, status, [options] { return diff(*options); });
+  auto* propose_command = accord->add_subcommand(
+      "propose", "propose the rules in a file as the next version, or as the next common ground");
+  add_connection_options(propose_command, options);
+  add_proposal_options(propose_command, options, true);
+  propose_command->add_option("FILE", options->rules_path, "the rules (protobuf text)")->required();
+  propose_command->add_option(
+      "--base", options->base_version,
+      "the version, or ground, that the proposal follows; without it, the newest that the broker knows");
+  propose_command->add_flag("--ground", options->proposes_baseline,
+                            "propose the next common ground: the rules for a broker without a lease");
+  set_action(propose_command, status,
+             [options] { return propose_rules(*options, options->proposes_baseline, 0); });
+  auto* undo_command = accord->add_subcommand("undo", "propose the rules of an earlier version again");
+  add_connection_options(undo_command, options);
+  add_proposal_options(undo_command, options, false);
+  undo_command->add_option("VERSION", options->number, "the version whose rules to propose again")
+      ->required();
+  set_action(undo_command, status, [options] { return propose_rules(*options, false, options->number); });
+  auto* strike_command = accord->add_subcommand(
+      "strike", "remove a broker that never comes back, so that no new ground waits for it");
+  add_connection_options(strike_command, options);
+  add_proposal_options(strike_command, options, true);
+  strike_command->add_option("NAME", options->target_name, "the name of the broker")->required();
+  set_action(strike_command, status, [options] {
+    return submit_proposal(*options, {{"kind", "strike"},
+                                      {"name", options->target_name},
+                                      {"who", options->who},
+                                      {"why", options->why},
+                                      {"id", options->id.empty() ? random_proposal_id() : options->id}});
   });
-  auto* i =
-      accord->add_subcommand("init", "make a stopped broker's folder one of the first voters'; once each");
-  i->add_option("--options", said->options, "its options")->envname("CAIRNHUB_OPTIONS")->required();
-  run(i, status, [said] { return init(*said); });
-  auto* r = accord->add_subcommand("recover",
-                                   "a majority of voters is gone for good: go on from this folder alone");
-  r->add_option("--options", said->options, "its options")->envname("CAIRNHUB_OPTIONS")->required();
-  r->add_flag("--a-majority-is-lost", said->sure, "say so");
-  run(r, status, [said] { return recover(*said); });
+  auto* init_command = accord->add_subcommand(
+      "init", "create the store of a stopped broker as one of the first voters; once for each");
+  init_command->add_option("--options", options->options_path, "the options file of the broker")
+      ->envname("CAIRNHUB_OPTIONS")
+      ->required();
+  set_action(init_command, status, [options] { return init(*options); });
+  auto* recover_command = accord->add_subcommand(
+      "recover", "after a majority of voters is lost for good: continue from this broker's store alone");
+  recover_command->add_option("--options", options->options_path, "the options file of the broker")
+      ->envname("CAIRNHUB_OPTIONS")
+      ->required();
+  recover_command->add_flag("--a-majority-is-lost", options->confirms_majority_lost,
+                            "confirm that a majority of voters is lost for good");
+  set_action(recover_command, status, [options] { return recover(*options); });
 }
 
 }  // namespace cairnhub::cli
--- a/src/cli/accord.h
+++ b/src/cli/accord.h
@@ -1,4 +1,5 @@
-// `cairnhub accord` and `cairnhub peers`: what operators ask a running broker, and what they tell it.
+// The `accord` and `peers` sub-commands: status, history and proposals of the shared configuration, and the
+// other brokers as one broker sees them.
 #pragma once
 
 namespace CLI {
@@ -7,7 +8,8 @@
 
 namespace cairnhub::cli {
 
-// Adds both sub-commands; `status` is set to the exit status of the one that ran (operator.h).
+// Adds both sub-commands.
+// @param status set, when one of them is parsed, to its exit status (operator.h); must outlive `app`
 void add_accord(CLI::App& app, int& status);
 
 }  // namespace cairnhub::cli
--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -24,19 +24,22 @@
 
 namespace {
 
-// A configuration is JSON, and so begins with a brace; options never do.
+// Tells a configuration from options by its first character: a configuration is JSON and begins with a brace,
+// and options never do.
 bool is_configuration(const std::string& file) {
   std::ifstream in(file, std::ios::binary);
   char c = 0;
-  while (in.get(c))
+  while (in.get(c)) {
     if (c != ' ' && c != '\t' && c != '\r' && c != '\n') return c == '{';
+  }
   return false;
 }
 
-// All faults that a start with these files would meet, one line each; options are held against the
-// configuration named last before them.
+// The `check` sub-command: validates each file as `serve` does and prints one line for it. Options are
+// checked against the configuration named last before them.
+// @return the exit status
 int check(const std::vector<std::string>& files) {
-  int faults = 0;
+  int error_count = 0;
   std::unique_ptr<dispatch::Config> config;
   for (const std::string& file : files) {
     try {
@@ -44,61 +47,67 @@
         config = std::make_unique<dispatch::Config>(dispatch::read_config(file));
         RequestPolicy policy(config->seed);
         settings::apply(config->settings, policy);
-        Address at;
-        if (!parse_address(config->listen_address, at))
+        Address address;
+        if (!parse_address(config->listen_address, address))
           throw std::runtime_error("configuration: listen is not an address");
-        if (!parse_address(config->discovery_address, at))
+        if (!parse_address(config->discovery_address, address))
           throw std::runtime_error("configuration: discovery is not an address");
       } else {
         const auto options = options::read(file);
         if (options.fleet) transport::read_keys(options.fleet->key_file);
-        if (config)
-          options::resolve(options, config->settings), options::resolve_indices(options, config->settings),
-              options::check_fleet(options, config->settings);
+        if (config) {
+          options::resolve(options, config->settings);
+          options::resolve_indices(options, config->settings);
+          options::check_fleet(options, config->settings);
+        }
       }
       std::printf("%s: good\n", file.c_str());
     } catch (const std::exception& e) {
-      const std::string line = e.what();
-      const bool named = line.rfind(file, 0) == 0;
-      std::fprintf(stderr, "%s%s%s\n", named ? "" : file.c_str(), named ? "" : ": ", line.c_str());
-      ++faults;
+      const std::string message = e.what();
+      const bool names_file = message.rfind(file, 0) == 0;
+      std::fprintf(stderr, "%s%s%s\n", names_file ? "" : file.c_str(), names_file ? "" : ": ",
+                   message.c_str());
+      ++error_count;
     }
   }
-  return faults ? 1 : 0;
+  return error_count ? 1 : 0;
 }
 
-constexpr const char* kVariables =
+constexpr const char* kHelpFooter =
     "Environment:\n"
-    "  RELAY_CONFIG      the configuration file (JSON), where --config is not given\n"
+    "  RELAY_CONFIG      the configuration file (JSON), unless --config is given\n"
     "  RELAY_NAME, RELAY_LISTEN, RELAY_DISCOVERY\n"
-    "                    also set by the platform; the configuration holds the same\n"
-    "  CAIRNHUB_OPTIONS  the operators' options (protobuf text), where --options is not given\n"
-    "Exit status: 0 done, 1 one line on standard error says what was wrong, 2 unusable arguments.";
+    "                    also set by the platform, but not read: the configuration holds the same values\n"
+    "  CAIRNHUB_OPTIONS  the operator's options file (protobuf text), unless --options is given\n"
+    "Exit status: 0 success; 1 failure, with one line on standard error for each error; 2 invalid arguments.";
 
 }  // namespace
 
 int main(int argc, char** argv) {
   CLI::App app{"cairnhub, a broker for reads that fan out over many shards", "cairnhub"};
-  app.footer(kVariables);
+  app.footer(kHelpFooter);
   app.require_subcommand(0, 1);
-  std::string config, options;
+  std::string config_path;
+  std::string options_path;
   std::vector<std::string> files;
-  // Where no sub-command is named, it serves.
-  auto* serve_command = app.add_subcommand("serve", "run the broker; also what runs with no command");
-  for (CLI::App* at : {&app, serve_command}) {
-    at->add_option("--config", config, "the configuration")->envname("RELAY_CONFIG")->type_name("FILE");
-    at->add_option("--options", options, "the operators' options")
+  // Without a sub-command the program serves, so the options of `serve` belong to the program as well.
+  auto* serve_command = app.add_subcommand("serve", "run the broker (the default command)");
+  for (CLI::App* command : {&app, serve_command}) {
+    command->add_option("--config", config_path, "the configuration file")
+        ->envname("RELAY_CONFIG")
+        ->type_name("FILE");
+    command->add_option("--options", options_path, "the operator's options file")
         ->envname("CAIRNHUB_OPTIONS")
         ->type_name("FILE");
   }
-  serve_command->footer(kVariables);
-  auto* check_command = app.add_subcommand("check", "say whether configurations and options will do");
-  check_command->add_option("FILE", files, "options are held against the configuration before them")
+  serve_command->footer(kHelpFooter);
+  auto* check_command = app.add_subcommand("check", "check configuration and options files");
+  check_command->add_option("FILE", files, "options are checked against the configuration before them")
       ->required();
-  int accord_status = 0;
-  add_accord(app, accord_status);
-  add_zones(app, accord_status);
-  add_upkeep(app, accord_status);
+  int client_status = 0;
+  add_accord(app, client_status);
+  add_zones(app, client_status);
+  add_upkeep(app, client_status);
   auto* version_command = app.add_subcommand("version", "print the version");
   try {
     app.parse(argc, argv);
@@ -108,11 +117,15 @@
     return 2;
   }
   if (app.got_subcommand("accord") || app.got_subcommand("peers") || app.got_subcommand("zones") ||
-      app.got_subcommand("upkeep"))
-    return accord_status;
-  if (*version_command) return std::printf("cairnhub %s\n", CAIRNHUB_VERSION), 0;
+      app.got_subcommand("upkeep")) {
+    return client_status;
+  }
+  if (*version_command) {
+    std::printf("cairnhub %s\n", CAIRNHUB_VERSION);
+    return 0;
+  }
   if (*check_command) return check(files);
-  return serve(config, options);
+  return serve(config_path, options_path);
 }
 
 }  // namespace cairnhub::cli
--- a/src/cli/cli.h
+++ b/src/cli/cli.h
@@ -3,8 +3,9 @@
 
 namespace cairnhub::cli {
 
-// 0: done; 1: what the command is for failed, one line on standard error for each fault; 2: unusable
-// arguments.
+// Parses the arguments and runs the sub-command.
+// @return the exit status. Of every sub-command: 0 success; 1 failure, with one line on standard error for
+//   each error; 2 invalid arguments. Client sub-commands add the statuses in operator.h.
 int main(int argc, char** argv);
 
 }  // namespace cairnhub::cli
--- a/src/cli/operator.cpp
+++ b/src/cli/operator.cpp
@@ -12,99 +12,111 @@
 
 namespace cairnhub::cli {
 
-int complain(int status, const std::string& line) {
-  std::fprintf(stderr, "cairnhub: %s\n", line.c_str());
+int report_error(int status, const std::string& message) {
+  std::fprintf(stderr, "cairnhub: %s\n", message.c_str());
   return status;
 }
 
 namespace {
 
-struct Answer {
-  int status = 0;  // 0: none
+constexpr int kRequestTimeoutSeconds = 20;
+
+struct HttpResponse {
+  int status = 0;  // 0: no response
   std::string body;
 };
 
-// One request, waited for. `body` empty: a GET.
-Answer ask(const std::string& at, const std::string& path, const std::string& body) {
+// Sends one request and waits for the response.
+// @param address host:port
+// @param body empty: the request is a GET; else a POST
+HttpResponse send_request(const std::string& address, const std::string& path, const std::string& body) {
   struct State {
     event_base* base;
-    Answer answer;
+    HttpResponse response;
   } state{event_base_new(), {}};
-  const auto colon = at.rfind(':');
-  evhttp_connection* c =
-      evhttp_connection_base_new(state.base, nullptr, at.substr(0, colon).c_str(),
-                                 static_cast<std::uint16_t>(std::atoi(at.substr(colon + 1).c_str())));
-  evhttp_connection_set_timeout(c, 20);
-  evhttp_request* r = evhttp_request_new(
-      [](evhttp_request* got, void* p) {
-        State& s = *static_cast<State*>(p);
-        if (got) {
-          s.answer.status = evhttp_request_get_response_code(got);
-          evbuffer* in = evhttp_request_get_input_buffer(got);
-          s.answer.body.resize(evbuffer_get_length(in));
-          evbuffer_copyout(in, s.answer.body.data(), s.answer.body.size());
+  const auto colon = address.rfind(':');
+  evhttp_connection* connection =
+      evhttp_connection_base_new(state.base, nullptr, address.substr(0, colon).c_str(),
+                                 static_cast<std::uint16_t>(std::atoi(address.substr(colon + 1).c_str())));
+  evhttp_connection_set_timeout(connection, kRequestTimeoutSeconds);
+  evhttp_request* request = evhttp_request_new(
+      [](evhttp_request* completed, void* context) {
+        State& s = *static_cast<State*>(context);
+        if (completed) {
+          s.response.status = evhttp_request_get_response_code(completed);
+          evbuffer* input = evhttp_request_get_input_buffer(completed);
+          s.response.body.resize(evbuffer_get_length(input));
+          evbuffer_copyout(input, s.response.body.data(), s.response.body.size());
         }
         event_base_loopbreak(s.base);
       },
       &state);
-  evhttp_add_header(evhttp_request_get_output_headers(r), "Host", at.c_str());
-  evhttp_add_header(evhttp_request_get_output_headers(r), "Connection", "close");
-  if (!body.empty()) evbuffer_add(evhttp_request_get_output_buffer(r), body.data(), body.size());
-  if (evhttp_make_request(c, r, body.empty() ? EVHTTP_REQ_GET : EVHTTP_REQ_POST, path.c_str()) == 0)
+  evhttp_add_header(evhttp_request_get_output_headers(request), "Host", address.c_str());
+  evhttp_add_header(evhttp_request_get_output_headers(request), "Connection", "close");
+  if (!body.empty()) evbuffer_add(evhttp_request_get_output_buffer(request), body.data(), body.size());
+  if (evhttp_make_request(connection, request, body.empty() ? EVHTTP_REQ_GET : EVHTTP_REQ_POST,
+                          path.c_str()) == 0) {
     event_base_dispatch(state.base);
-  evhttp_connection_free(c);
+  }
+  evhttp_connection_free(connection);
   event_base_free(state.base);
-  return state.answer;
+  return state.response;
 }
 
-std::string address(const Said& s) {
-  if (!s.at.empty()) return s.at;
-  if (s.options.empty()) return "";
-  const auto o = options::read(s.options);
-  return o.fleet ? o.fleet->operators : "";
+// @return the address of the admin API; empty: none is stated
+std::string admin_address(const ClientOptions& client_options) {
+  if (!client_options.address.empty()) return client_options.address;
+  if (client_options.options_path.empty()) return "";
+  const auto options = options::read(client_options.options_path);
+  return options.fleet ? options.fleet->operators : "";
 }
 
 }  // namespace
 
-std::optional<json> fetch(const Said& s, const char* path, int& status) {
-  const std::string at = address(s);
-  if (at.empty() || at.rfind(':') == std::string::npos) {
-    status = complain(
-        kUsage, "no operators' address: give --at, or --options of a file whose fleet states operators");
+std::optional<json> fetch(const ClientOptions& options, const char* path, int& status) {
+  const std::string address = admin_address(options);
+  if (address.empty() || address.rfind(':') == std::string::npos) {
+    status =
+        report_error(kInvalidArguments,
+                     "no operators' address: give --at, or --options of a file whose fleet states operators");
+    return std::nullopt;
+  }
+  const HttpResponse response = send_request(address, path, "");
+  if (response.status == 0) {
+    status = report_error(kNoResponse, "no answer from " + address);
     return std::nullopt;
   }
-  const Answer a = ask(at, path, "");
-  if (a.status == 0) return status = complain(kNoAnswer, "no answer from " + at), std::nullopt;
-  auto j = json::parse(a.body, nullptr, false);
-  if (a.status != 200 || !j.is_object()) {
-    status = complain(kRefused, j.is_object() && j.contains("error") ? j["error"].get<std::string>()
-                                                                     : "answer " + std::to_string(a.status));
+  auto object = json::parse(response.body, nullptr, false);
+  if (response.status != 200 || !object.is_object()) {
+    status = report_error(kFailure, object.is_object() && object.contains("error")
+                                        ? object["error"].get<std::string>()
+                                        : "answer " + std::to_string(response.status));
     return std::nullopt;
   }
-  return j;
+  return object;
 }
 
-int propose(const Said& s, const json& what) {
-  const Answer a = ask(address(s), "/accord/propose", what.dump());
-  if (a.status == 0 || a.status == 504) {
+int submit_proposal(const ClientOptions& options, const json& proposal) {
+  const HttpResponse response = send_request(admin_address(options), "/accord/propose", proposal.dump());
+  if (response.status == 0 || response.status == 504) {
     std::fprintf(stderr, "cairnhub: no verdict; it may yet be taken. Say it again with --id %s\n",
-                 what["id"].get<std::string>().c_str());
-    return kNotKnown;
+                 proposal["id"].get<std::string>().c_str());
+    return kOutcomeUnknown;
   }
-  const auto j = json::parse(a.body, nullptr, false);
-  if (s.as_json) std::printf("%s\n", j.is_object() ? j.dump(2).c_str() : "{}");
-  if (a.status == 200) {
-    if (!s.as_json) std::printf("taken as %llu\n", j["number"].get<unsigned long long>());
-    return kDone;
+  const auto outcome = json::parse(response.body, nullptr, false);
+  if (options.prints_json) std::printf("%s\n", outcome.is_object() ? outcome.dump(2).c_str() : "{}");
+  if (response.status == 200) {
+    if (!options.prints_json) std::printf("taken as %llu\n", outcome["number"].get<unsigned long long>());
+    return kSuccess;
   }
-  const std::string why = j.is_object() && j.contains("refused")
-                              ? "refused: " + j["refused"].get<std::string>()
-                          : j.is_object() && j.contains("error") ? j["error"].get<std::string>()
-                                                                 : "answer " + std::to_string(a.status);
-  return complain(kRefused, why);
+  const std::string message =
+      outcome.is_object() && outcome.contains("refused") ? "refused: " + outcome["refused"].get<std::string>()
+      : outcome.is_object() && outcome.contains("error") ? outcome["error"].get<std::string>()
+                                                         : "answer " + std::to_string(response.status);
+  return report_error(kFailure, message);
 }
 
-std::string fresh_id() {
+std::string random_proposal_id() {
   unsigned char bytes[8];
   randombytes_buf(bytes, sizeof bytes);
   char hex[17];
@@ -112,27 +124,32 @@
   return hex;
 }
 
-void where(CLI::App* c, const std::shared_ptr<Said>& said) {
-  c->add_option("--options", said->options, "the operators' options, for their address")
+void add_connection_options(CLI::App* command, const std::shared_ptr<ClientOptions>& options) {
+  command
+      ->add_option("--options", options->options_path,
+                   "the operator's options file, for the address in fleet.operators")
       ->envname("CAIRNHUB_OPTIONS")
       ->type_name("FILE");
-  c->add_option("--at", said->at, "the operators' address of a broker")->type_name("ADDRESS");
-  c->add_flag("--json", said->as_json, "JSON instead of text");
+  command->add_option("--at", options->address, "the address of a broker's admin API, instead of --options")
+      ->type_name("ADDRESS");
+  command->add_flag("--json", options->prints_json, "print JSON instead of text");
 }
 
-void by(CLI::App* c, const std::shared_ptr<Said>& said, bool why_needed) {
-  c->add_option("--who", said->who, "who proposes it")->required();
-  auto* w = c->add_option("--why", said->why, "why");
-  if (why_needed) w->required();
-  c->add_option("--id", said->id, "of a proposal said before, which then counts once");
+void add_proposal_options(CLI::App* command, const std::shared_ptr<ClientOptions>& options,
+                          bool is_reason_required) {
+  command->add_option("--who", options->who, "who proposes the change")->required();
+  auto* reason = command->add_option("--why", options->why, "the reason for the change");
+  if (is_reason_required) reason->required();
+  command->add_option("--id", options->id,
+                      "repeat the earlier proposal that has this id; it takes effect only once");
 }
 
-void run(CLI::App* c, int& status, std::function<int()> what) {
-  c->callback([&status, what = std::move(what)] {
+void set_action(CLI::App* command, int& status, std::function<int()> action) {
+  command->callback([&status, action = std::move(action)] {
     try {
-      status = sodium_init() < 0 ? complain(kRefused, "no source of random numbers") : what();
+      status = sodium_init() < 0 ? report_error(kFailure, "no source of random numbers") : action();
     } catch (const std::exception& e) {
-      status = complain(kRefused, e.what());
+      status = report_error(kFailure, e.what());
     }
   });
 }
--- a/src/cli/operator.h
+++ b/src/cli/operator.h
@@ -1,4 +1,5 @@
-// What the sub-commands that speak with a running broker share: where it is, one question, one proposal.
+// Helpers for the sub-commands that are clients of a running broker: the admin API's address, requests,
+// proposals and errors.
 #pragma once
 #include <functional>
 #include <memory>
@@ -14,26 +15,55 @@
 
 using json = nlohmann::ordered_json;
 
-// 0 done; 1 refused, or something wrong here; 2 unusable arguments; 3 the broker does not answer; 4 not known
-// whether the proposal was taken: say it again with the same --id.
-enum Exit { kDone = 0, kRefused = 1, kUsage = 2, kNoAnswer = 3, kNotKnown = 4 };
+// Exit statuses of client sub-commands.
+enum ExitStatus {
+  kSuccess = 0,
+  kFailure = 1,  // the broker rejected the request, or a local error
+  kInvalidArguments = 2,
+  kNoResponse = 3,      // no response from the broker
+  kOutcomeUnknown = 4,  // the proposal may or may not have been accepted: repeat it with the same --id
+};
 
-struct Said {
-  std::string options, at, file, who, why, id, name;
-  std::uint64_t number = 0, other = 0, base = 0;
-  bool as_json = false, sure = false, ground = false;
+// Values of the command-line options and arguments. Each sub-command sets those that it has.
+struct ClientOptions {
+  std::string options_path;
+  std::string address;       // of the admin API; empty: as stated in the options file
+  std::string rules_path;    // of the rules to propose
+  std::string who;           // proposes the change
+  std::string why;           // the reason for the change
+  std::string id;            // of the proposal; empty: a random one
+  std::string target_name;   // of the broker, zone or machine that the command is about
+  std::uint64_t number = 0;  // of a version or of a maintenance job
+  std::uint64_t other_version = 0;
+  std::uint64_t base_version = 0;  // 0: the newest
+  bool prints_json = false;
+  bool confirms_majority_lost = false;
+  bool proposes_baseline = false;
 };
 
-int complain(int status, const std::string& line);  // on the standard error; returns the status
-// A GET of the operators' address; none, and `status` set, where there is no good answer.
-std::optional<json> fetch(const Said& said, const char* path, int& status);
-int propose(const Said& said, const json& what);
-std::string fresh_id();
-
-// Options of a sub-command: where the broker is; who proposes and why.
-void where(CLI::App* command, const std::shared_ptr<Said>& said);
-void by(CLI::App* command, const std::shared_ptr<Said>& said, bool why_needed);
-// What it does; whatever it throws is one line and a refusal.
-void run(CLI::App* command, int& status, std::function<int()> what);
+// Prints the message to standard error, after the name of the program.
+// @return `status`
+int report_error(int status, const std::string& message);
+
+// Sends a GET to the admin API and waits for the response.
+// @param status set to an exit status where nothing is returned; the error has then been reported
+// @return the JSON object in the response
+std::optional<json> fetch(const ClientOptions& options, const char* path, int& status);
+
+// Sends a proposal to the admin API, waits for the response and prints the outcome. The address
+// isn't validated here: where it is missing or wrong, the status is `kOutcomeUnknown`.
+// @return the exit status
+int submit_proposal(const ClientOptions& options, const json& proposal);
+
+std::string random_proposal_id();
+
+// Adds the options that state where the broker is and in what form to print the result.
+void add_connection_options(CLI::App* command, const std::shared_ptr<ClientOptions>& options);
+// Adds the options that state who proposes a change and why.
+void add_proposal_options(CLI::App* command, const std::shared_ptr<ClientOptions>& options,
+                          bool is_reason_required);
+// Runs `action` when `command` is parsed and stores its exit status in `status`. An exception is reported as
+// an error and gives `kFailure`.
+void set_action(CLI::App* command, int& status, std::function<int()> action);
 
 }  // namespace cairnhub::cli
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -25,126 +25,144 @@
 
 namespace {
 
-// What a signal does, on the loop and not where it strikes.
-class OnSignal {
+constexpr long kReadinessPollUs = 20000;
+
+// Calls a function on the event loop, rather than in a signal handler, for every signal of one number.
+class SignalWatcher {
  public:
-  OnSignal(event_base* base, int signal, std::function<void()> what) : what_(std::move(what)) {
+  SignalWatcher(event_base* base, int signal, std::function<void()> callback)
+      : callback_(std::move(callback)) {
     event_ = evsignal_new(
         base, signal,
-        [](evutil_socket_t, short, void* self) { guarded("signal", static_cast<OnSignal*>(self)->what_); },
+        [](evutil_socket_t, short, void* self) {
+          guarded("signal", static_cast<SignalWatcher*>(self)->callback_);
+        },
         this);
     event_add(event_, nullptr);
   }
-  ~OnSignal() { event_free(event_); }
-  OnSignal(const OnSignal&) = delete;
-  OnSignal& operator=(const OnSignal&) = delete;
+  ~SignalWatcher() { event_free(event_); }
+  SignalWatcher(const SignalWatcher&) = delete;
+  SignalWatcher& operator=(const SignalWatcher&) = delete;
 
  private:
-  std::function<void()> what_;
+  std::function<void()> callback_;
   event* event_;
 };
 
-// What the search front tells of nodes, from the list.
-class Around : public frontend::opensearch::Surroundings {
+// Answers the search frontend's questions about endpoints from the endpoint registry.
+class EndpointRegistryView : public frontend::opensearch::Surroundings {
  public:
-  Around(const dispatch::EndpointRegistry& members, const settings::Settings& s)
-      : members_(members), cells_(s.whole("family-info.positions")), width_(s.whole("family-info.width")) {}
-  std::string node_name(EndpointId id) const override { return members_.name_of(id); }
-  std::vector<std::string> holders(int block) const override {
-    std::vector<std::string> all;
-    for (int j = 0; j < width_; ++j)
-      for (auto& name : members_.ready_at((block + j) % cells_)) all.push_back(std::move(name));
-    return all;
+  EndpointRegistryView(const dispatch::EndpointRegistry& endpoints, const settings::Settings& settings)
+      : endpoints_(endpoints),
+        ring_positions_(settings.whole("family-info.positions")),
+        replicas_(settings.whole("family-info.width")) {}
+  std::string node_name(EndpointId id) const override { return endpoints_.name_of(id); }
+  std::vector<std::string> holders(int shard) const override {
+    std::vector<std::string> names;
+    for (int i = 0; i < replicas_; ++i)
+      for (auto& name : endpoints_.ready_at((shard + i) % ring_positions_)) names.push_back(std::move(name));
+    return names;
   }
-  int nodes() const override { return members_.ready_count(); }
+  int nodes() const override { return endpoints_.ready_count(); }
 
  private:
-  const dispatch::EndpointRegistry& members_;
-  int cells_, width_;
+  const dispatch::EndpointRegistry& endpoints_;
+  int ring_positions_;
+  int replicas_;  // of each shard
 };
 
 }  // namespace
 
-int serve(const std::string& path, const std::string& options) {
+int serve(const std::string& config_path, const std::string& options_path) {
   std::signal(SIGPIPE, SIG_IGN);
-  std::signal(SIGHUP, SIG_IGN);  // Danger: one that comes before the loop is ready would end the program.
-  event_config* how = event_config_new();
-  event_config_set_flag(how, EVENT_BASE_FLAG_PRECISE_TIMER);
-  event_base* base = event_base_new_with_config(how);
-  event_config_free(how);
+  std::signal(SIGHUP, SIG_IGN);  // A SIGHUP that arrives before the watcher is set up would end the process.
+  event_config* event_options = event_config_new();
+  event_config_set_flag(event_options, EVENT_BASE_FLAG_PRECISE_TIMER);
+  event_base* base = event_base_new_with_config(event_options);
+  event_config_free(event_options);
   int status = 0;
   try {
-    if (path.empty()) throw std::runtime_error("RELAY_CONFIG is not set");
-    const Config config = read_config(path);
-    server::BrokerOptions extras;
-    std::unique_ptr<cluster::Fleet> fleet;
-    std::unique_ptr<cluster::Operators> operators;
+    if (config_path.empty()) throw std::runtime_error("RELAY_CONFIG is not set");
+    const Config config = read_config(config_path);
+    server::BrokerOptions broker_options;
+    std::unique_ptr<cluster::Fleet> cluster_node;
+    std::unique_ptr<cluster::Operators> admin_api;
     std::vector<frontend::opensearch::Index> indices;
-    opensearch::Limits limits;
-    if (!options.empty()) {
-      const auto stated = options::read(options);
-      for (const auto& p : options::resolve(stated, config.settings))
-        extras.two_phase_classes.push_back({p.op_type, p.op, p.terms});
-      for (const auto& x : options::resolve_indices(stated, config.settings))
-        indices.push_back({x.index.name, x.index.first, x.index.blocks, x.op_type, x.index.timeout});
-      options::check_fleet(stated, config.settings);
-      if (stated.fleet) {
-        fleet = std::make_unique<cluster::Fleet>(base, *stated.fleet, config.settings, config.seed);
-        if (!stated.fleet->operators.empty()) operators = std::make_unique<cluster::Operators>(base, *fleet);
-        extras.cluster_control = fleet.get();
+    opensearch::Limits search_limits;
+    if (!options_path.empty()) {
+      const auto options = options::read(options_path);
+      for (const auto& two_phase_class : options::resolve(options, config.settings)) {
+        broker_options.two_phase_classes.push_back(
+            {two_phase_class.op_type, two_phase_class.op, two_phase_class.terms});
+      }
+      for (const auto& resolved : options::resolve_indices(options, config.settings)) {
+        indices.push_back({resolved.index.name, resolved.index.first, resolved.index.blocks, resolved.op_type,
+                           resolved.index.timeout});
       }
-      if (stated.search) {
-        extras.search_flavor = stated.search->flavor,
-        extras.max_search_body_bytes = stated.search->answer_most;
-        limits.window_most = stated.search->window_most, limits.items_most = stated.search->items_most;
+      options::check_fleet(options, config.settings);
+      if (options.fleet) {
+        cluster_node = std::make_unique<cluster::Fleet>(base, *options.fleet, config.settings, config.seed);
+        if (!options.fleet->operators.empty()) {
+          admin_api = std::make_unique<cluster::Operators>(base, *cluster_node);
+        }
+        broker_options.cluster_control = cluster_node.get();
+      }
+      if (options.search) {
+        broker_options.search_flavor = options.search->flavor;
+        broker_options.max_search_body_bytes = options.search->answer_most;
+        search_limits.window_most = options.search->window_most;
+        search_limits.items_most = options.search->items_most;
       }
     }
-    if (fleet) {
-      fleet->start();
-      // The door opens once it is known what may be acted on, or the wait stated is over.
-      bool stopped = false;
-      const OnSignal stop(base, SIGTERM, [&] { stopped = true; });
-      while (!stopped && !fleet->ready()) {
-        const timeval tick{0, 20000};
-        event_base_loopexit(base, &tick);
+    if (cluster_node) {
+      cluster_node->start();
+      // The broker listens for clients only once the node has an active configuration, or the configured wait
+      // for one is over.
+      bool is_stopped = false;
+      const SignalWatcher stop(base, SIGTERM, [&] { is_stopped = true; });
+      while (!is_stopped && !cluster_node->ready()) {
+        const timeval poll_interval{0, kReadinessPollUs};
+        event_base_loopexit(base, &poll_interval);
         event_base_dispatch(base);
       }
-      if (stopped) {
-        fleet->leave();
-        fleet->gone();
-        fleet.reset();
+      if (is_stopped) {
+        cluster_node->leave();
+        cluster_node->gone();
+        cluster_node.reset();
         event_base_free(base);
         return 0;
       }
     }
-    Broker broker(base, config, extras);
+    Broker broker(base, config, broker_options);
     frontend::two_phase::Front two_phase_front(broker.request_parser(), broker.two_phase_runner());
-    if (!extras.two_phase_classes.empty()) broker.add_frontend(two_phase_front);
-    const Around around(broker.endpoints(), config.settings);
-    frontend::opensearch::Front search_front(indices, limits, broker.in_flight_requests(),
-                                             broker.dispatcher(), around);
+    if (!broker_options.two_phase_classes.empty()) broker.add_frontend(two_phase_front);
+    const EndpointRegistryView endpoint_view(broker.endpoints(), config.settings);
+    frontend::opensearch::Front search_front(indices, search_limits, broker.in_flight_requests(),
+                                             broker.dispatcher(), endpoint_view);
     if (!indices.empty()) broker.add_frontend(search_front);
-    const auto leave = [&] {
-      log("stop", "finishing what is in hand");
-      if (fleet) fleet->leave();
-      broker.shut_down([base, &fleet] {
-        if (fleet) fleet->gone();
+    const auto shut_down = [&] {
+      log("stop", "shutting down: finishing the requests in flight");
+      if (cluster_node) cluster_node->leave();
+      broker.shut_down([base, &cluster_node] {
+        if (cluster_node) cluster_node->gone();
         event_base_loopexit(base, nullptr);
       });
     };
-    const OnSignal stop(base, SIGTERM, leave);
-    if (fleet)
-      fleet->attach({[&broker] { broker.dispatcher().run_actions(); },
-                     [&broker] { broker.refresh_endpoint_list(); },
-                     [&broker](const std::string& node) { return broker.drain_endpoint(node); },
-                     [&broker] { broker.set_not_ready(); }, leave});
-    // Danger: a file that is missing, half written or wrong. Nothing of it is taken.
-    const OnSignal reload(base, SIGHUP, [&] {
-      if (fleet) fleet->change_keys();
+    const SignalWatcher stop(base, SIGTERM, shut_down);
+    if (cluster_node) {
+      cluster_node->attach(
+          {[&broker] { broker.dispatcher().run_actions(); }, [&broker] { broker.refresh_endpoint_list(); },
+           [&broker](const std::string& endpoint) { return broker.drain_endpoint(endpoint); },
+           [&broker] { broker.set_not_ready(); }, shut_down});
+    }
+    // A file that is missing, half written or invalid changes nothing.
+    const SignalWatcher reload(base, SIGHUP, [&] {
+      if (cluster_node) cluster_node->change_keys();
       try {
-        broker.apply_config(read_config(path));
+        broker.apply_config(read_config(config_path));
       } catch (const std::exception& e) {
-        log("config", "the old one stays in force: %s", e.what());
+        log("config", "%s not reloaded, the previous configuration stays in effect: %s", config_path.c_str(),
+            e.what());
       }
     });
     event_base_dispatch(base);
--- a/src/cli/upkeep.h
+++ b/src/cli/upkeep.h
@@ -1,4 +1,5 @@
-// `cairnhub upkeep`: machines that are taken out for work.
+// The `upkeep` sub-command: maintenance jobs, for which machines are taken out of service one after the
+// other.
 #pragma once
 
 namespace CLI {
@@ -7,6 +8,8 @@
 
 namespace cairnhub::cli {
 
-void add_upkeep(CLI::App& app, int& status);  // as add_accord
+// Adds the sub-command.
+// @param status set, when it is parsed, to its exit status (operator.h); must outlive `app`
+void add_upkeep(CLI::App& app, int& status);
 
 }  // namespace cairnhub::cli
--- a/src/cli/zones.h
+++ b/src/cli/zones.h
@@ -1,4 +1,4 @@
-// `cairnhub zones`: where traffic goes, why, and what operators order.
+// The `zones` sub-command: traffic between zones, the reasons for it, and operators' orders that move it.
 #pragma once
 
 namespace CLI {
@@ -7,6 +7,8 @@
 
 namespace cairnhub::cli {
 
-void add_zones(CLI::App& app, int& status);  // as add_accord
+// Adds the sub-command.
+// @param status set, when it is parsed, to its exit status (operator.h); must outlive `app`
+void add_zones(CLI::App& app, int& status);
 
 }  // namespace cairnhub::cli
--- a/tests/cli.sh
+++ b/tests/cli.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# The command line: what it prints and its exit status. Argument: the program.
+# Runs the program with valid and invalid arguments, configurations and options, and prints its output and exit
+# status for comparison with tests/traces/cli.txt. Argument: the program.
 set -u
 folder=$(mktemp -d)
 trap 'rm -r "$folder"' EXIT
@@ -23,7 +24,7 @@
 echo 'two_phase { op_type { name: "once" } }' > once.txtpb
 printf 'two_phase {\n  op_type {\n    name: "all"\n    pages: 3\n  }\n}\n' > unknown.txtpb
 echo "1 $(printf '%064d' 1)" > key
-fleet() {  # a fleet with these zones
+fleet() {  # prints fleet options with these zones; second argument "alone": without accord
   printf 'fleet {\n  name: "b0"\n  listen: "127.0.0.1:9100"\n  key_file: "key"\n'
   [ "${2:-}" = alone ] || printf '  accord { voter: "b0" }\n'
   printf '  zones {\n%s\n  }\n}\n' "$1"
