--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -27,7 +27,7 @@
 
 constexpr long kReadinessPollUs = 20000;
 
-// Calls a function on the event loop, rather than in a signal handler, for every signal of one number.
+// Calls a function when a signal arrives, on the event loop rather than in the signal handler.
 class SignalWatcher {
  public:
   SignalWatcher(event_base* base, int signal, std::function<void()> callback)
@@ -59,8 +59,9 @@
   std::string node_name(EndpointId id) const override { return endpoints_.name_of(id); }
   std::vector<std::string> holders(int shard) const override {
     std::vector<std::string> names;
-    for (int i = 0; i < replicas_; ++i)
+    for (int i = 0; i < replicas_; ++i) {
       for (auto& name : endpoints_.ready_at((shard + i) % ring_positions_)) names.push_back(std::move(name));
+    }
     return names;
   }
   int nodes() const override { return endpoints_.ready_count(); }
@@ -155,7 +156,7 @@
            [&broker](const std::string& endpoint) { return broker.drain_endpoint(endpoint); },
            [&broker] { broker.set_not_ready(); }, shut_down});
     }
-    // A file that is missing, half written or invalid changes nothing.
+    // A configuration that is missing, half written or invalid is ignored as a whole.
     const SignalWatcher reload(base, SIGHUP, [&] {
       if (cluster_node) cluster_node->change_keys();
       try {
