--- a/src/frontend/http/http_server.h
+++ b/src/frontend/http/http_server.h
@@ -26,11 +26,14 @@
   virtual ~Frontend() = default;
   virtual bool handles(std::string_view path) const = 0;
   // Starts the request, or responds to it at once.
-  // @return what to call should the client leave before the response is written
+  // @return what to call should the client leave before the response is written; empty where there is nothing
+  //         to abandon
   virtual std::function<void()> handle(const platform::ClientRequest& request,
                                        std::unique_ptr<dispatch::Responder> responder) = 0;
 };
 
+// Accepts clients' connections, limits and times out idle ones and incomplete requests, and passes complete
+// requests to the frontends. Requests that no frontend handles go to the platform's parser.
 class HttpServer {
  public:
   // Frontends are asked in the order in which they were added. They must outlive the server's event loop.
@@ -51,7 +54,8 @@
   // Health checks fail until this is called: a broker that knows no endpoint would be given clients whose
   // requests it must reject.
   void set_can_serve() { can_serve_ = true; }
-  // From now on each response closes its connection.
+  // From now on a connection is closed after its response; pipelined requests are answered first, for a
+  // limited time.
   void close_after_responses();
   // Whether connections wait to be accepted.
   bool has_backlog() const;
--- a/src/frontend/opensearch/opensearch_frontend.h
+++ b/src/frontend/opensearch/opensearch_frontend.h
@@ -32,6 +32,7 @@
   virtual int ready_count() const = 0;  // endpoints that are ready
 };
 
+// Handles _search, _msearch, _mget, _count, _cluster/health and _cat/shards.
 class OpenSearchFrontend : public Frontend {
  public:
   OpenSearchFrontend(std::vector<IndexDefinition> indices, const cairnhub::opensearch::Limits& limits,
--- a/src/frontend/platform/request_parser.h
+++ b/src/frontend/platform/request_parser.h
@@ -27,6 +27,7 @@
   Time waited = 0;
 };
 
+// Parses requests in the platform's format and passes them to the dispatcher.
 class RequestParser {
  public:
   RequestParser(const settings::Settings& settings, dispatch::InFlightRequests& requests,
--- a/src/frontend/two_phase/two_phase_frontend.h
+++ b/src/frontend/two_phase/two_phase_frontend.h
@@ -6,6 +6,7 @@
 
 namespace cairnhub::frontend::two_phase {
 
+// Passes two-phase queries to the runner.
 class TwoPhaseFrontend : public Frontend {
  public:
   TwoPhaseFrontend(frontend::platform::RequestParser& request_parser, dispatch::TwoPhaseRunner& runner)
