--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -49,12 +49,22 @@
   event* event_;
 };
 
-// Answers the search frontend's questions about endpoints from the endpoint registry. 
-class EndpointRegistryView : public frontend::opensearch::EndpointView { 
+// Answers the search frontend's questions about endpoints from the endpoint registry.
+class EndpointRegistryView : public frontend::opensearch::EndpointView {
  public:
-EndpointRegistryView ( const dispatch::EndpointRegistry & endpoints , const settings::Settings & settings ) : endpoints_ ( endpoints ) , ring_positions_ ( settings . whole ( "family-info.positions" ) ) , replicas_ ( settings . whole ( "family-info.width" ) ) { } std::string endpoint_name ( EndpointId id ) const override { return endpoints_ . name_of ( id ) ; } std::vector < std::string > replica_names ( int shard ) const override { std::vector < std::string > names ; for ( int i = 0 ; i < replicas_ ; + + i ) { for ( auto & name : endpoints_ . ready_at ( ( shard + i ) % ring_positions_ ) ) names . push_back ( std::move ( name ) ) ; } return names ; 
+  EndpointRegistryView(const dispatch::EndpointRegistry& endpoints, const settings::Settings& settings)
+      : endpoints_(endpoints),
+        ring_positions_(settings.whole("family-info.positions")),
+        replicas_(settings.whole("family-info.width")) {}
+  std::string endpoint_name(EndpointId id) const override { return endpoints_.name_of(id); }
+  std::vector<std::string> replica_names(int shard) const override {
+    std::vector<std::string> names;
+    for (int i = 0; i < replicas_; ++i) {
+      for (auto& name : endpoints_.ready_at((shard + i) % ring_positions_)) names.push_back(std::move(name));
+    }
+    return names;
   }
-int ready_count ( ) const override { return endpoints_ . ready_count ( ) ; } 
+  int ready_count() const override { return endpoints_.ready_count(); }
 
  private:
   const dispatch::EndpointRegistry& endpoints_;
@@ -73,51 +83,12 @@
   event_config_free(event_options);
   int status = 0;
   try {
-<<<<<<< ours
-    if (path.empty()) throw std::runtime_error("RELAY_CONFIG is not set");
-    const Config config = read_config(path);
-    server::BrokerOptions extras;
-    std::unique_ptr<cluster::ClusterNode> fleet;
-    std::unique_ptr<cluster::AdminApi> operators;
-    std::vector<frontend::opensearch::IndexDefinition> indices;
-    opensearch::Limits limits;
-    if (!options.empty()) {
-      const auto stated = options::read(options);
-      for (const auto& p : options::resolve(stated, config.settings))
-        extras.two_phase_classes.push_back({p.op_type, p.op, p.terms});
-      for (const auto& x : options::resolve_indices(stated, config.settings))
-        indices.push_back({x.index.name, x.index.first, x.index.blocks, x.op_type, x.index.timeout});
-      options::check_fleet(stated, config.settings);
-      if (stated.fleet) {
-        fleet = std::make_unique<cluster::ClusterNode>(base, *stated.fleet, config.settings, config.seed);
-        if (!stated.fleet->operators.empty()) operators = std::make_unique<cluster::AdminApi>(base, *fleet);
-        extras.cluster_control = fleet.get();
-||||||| base
-    if (path.empty()) throw std::runtime_error("RELAY_CONFIG is not set");
-    const Config config = read_config(path);
-    server::BrokerOptions extras;
-    std::unique_ptr<cluster::Fleet> fleet;
-    std::unique_ptr<cluster::Operators> operators;
-    std::vector<frontend::opensearch::Index> indices;
-    opensearch::Limits limits;
-    if (!options.empty()) {
-      const auto stated = options::read(options);
-      for (const auto& p : options::resolve(stated, config.settings))
-        extras.two_phase_classes.push_back({p.op_type, p.op, p.terms});
-      for (const auto& x : options::resolve_indices(stated, config.settings))
-        indices.push_back({x.index.name, x.index.first, x.index.blocks, x.op_type, x.index.timeout});
-      options::check_fleet(stated, config.settings);
-      if (stated.fleet) {
-        fleet = std::make_unique<cluster::Fleet>(base, *stated.fleet, config.settings, config.seed);
-        if (!stated.fleet->operators.empty()) operators = std::make_unique<cluster::Operators>(base, *fleet);
-        extras.cluster_control = fleet.get();
-=======
     if (config_path.empty()) throw std::runtime_error("RELAY_CONFIG is not set");
     const Config config = read_config(config_path);
     server::BrokerOptions broker_options;
-    std::unique_ptr<cluster::Fleet> cluster_node;
-    std::unique_ptr<cluster::Operators> admin_api;
-    std::vector<frontend::opensearch::Index> indices;
+    std::unique_ptr<cluster::ClusterNode> cluster_node;
+    std::unique_ptr<cluster::AdminApi> admin_api;
+    std::vector<frontend::opensearch::IndexDefinition> indices;
     opensearch::Limits search_limits;
     if (!options_path.empty()) {
       const auto options = options::read(options_path);
@@ -128,13 +99,13 @@
       for (const auto& resolved : options::resolve_indices(options, config.settings)) {
         indices.push_back({resolved.index.name, resolved.index.first, resolved.index.blocks, resolved.op_type,
                            resolved.index.timeout});
->>>>>>> theirs
       }
       options::check_fleet(options, config.settings);
       if (options.fleet) {
-        cluster_node = std::make_unique<cluster::Fleet>(base, *options.fleet, config.settings, config.seed);
+        cluster_node =
+            std::make_unique<cluster::ClusterNode>(base, *options.fleet, config.settings, config.seed);
         if (!options.fleet->operators.empty()) {
-          admin_api = std::make_unique<cluster::Operators>(base, *cluster_node);
+          admin_api = std::make_unique<cluster::AdminApi>(base, *cluster_node);
         }
         broker_options.cluster_control = cluster_node.get();
       }
@@ -145,24 +116,50 @@
         search_limits.items_most = options.search->items_most;
       }
     }
-if ( cluster_node ) { cluster_node -> start ( ) ; // The broker listens for clients only once the node has an active configuration, or the configured wait 
-// for one is over. 
-bool is_stopped = false ; const SignalWatcher stop ( base , SIGTERM , [ & ] { is_stopped = true ; } ) ; while ( ! is_stopped && ! cluster_node -> is_ready ( ) ) { const timeval poll_interval { 0 , kReadinessPollUs } ; event_base_loopexit ( base , & poll_interval ) ; 
+    if (cluster_node) {
+      cluster_node->start();
+      // The broker listens for clients only once the node has an active configuration, or the configured wait
+      // for one is over.
+      bool is_stopped = false;
+      const SignalWatcher stop(base, SIGTERM, [&] { is_stopped = true; });
+      while (!is_stopped && !cluster_node->is_ready()) {
+        const timeval poll_interval{0, kReadinessPollUs};
+        event_base_loopexit(base, &poll_interval);
         event_base_dispatch(base);
       }
-if ( is_stopped ) { cluster_node -> leave ( ) ; cluster_node -> announce_departure ( ) ; cluster_node . reset ( ) ; 
+      if (is_stopped) {
+        cluster_node->leave();
+        cluster_node->announce_departure();
+        cluster_node.reset();
         event_base_free(base);
         return 0;
       }
     }
-Broker broker ( base , config , broker_options ) ; frontend::two_phase::TwoPhaseFrontend two_phase_front ( broker . request_parser ( ) , broker . two_phase_runner ( ) ) ; if ( ! broker_options . two_phase_classes . empty ( ) ) broker . add_frontend ( two_phase_front ) ; const EndpointRegistryView endpoint_view ( broker . endpoints ( ) , config . settings ) ; frontend::opensearch::OpenSearchFrontend search_front ( indices , search_limits , broker . in_flight_requests ( ) , broker . dispatcher ( ) , endpoint_view ) ; 
+    Broker broker(base, config, broker_options);
+    frontend::two_phase::TwoPhaseFrontend two_phase_front(broker.request_parser(), broker.two_phase_runner());
+    if (!broker_options.two_phase_classes.empty()) broker.add_frontend(two_phase_front);
+    const EndpointRegistryView endpoint_view(broker.endpoints(), config.settings);
+    frontend::opensearch::OpenSearchFrontend search_front(indices, search_limits, broker.in_flight_requests(),
+                                                          broker.dispatcher(), endpoint_view);
     if (!indices.empty()) broker.add_frontend(search_front);
-const auto shut_down = [ & ] { log ( "stop" , "shutting down: finishing the requests in flight" ) ; if ( cluster_node ) cluster_node -> leave ( ) ; broker . shut_down ( [ base , & cluster_node ] { if ( cluster_node ) cluster_node -> announce_departure ( ) ; 
+    const auto shut_down = [&] {
+      log("stop", "shutting down: finishing the requests in flight");
+      if (cluster_node) cluster_node->leave();
+      broker.shut_down([base, &cluster_node] {
+        if (cluster_node) cluster_node->announce_departure();
         event_base_loopexit(base, nullptr);
       });
     };
-const SignalWatcher stop ( base , SIGTERM , shut_down ) ; if ( cluster_node ) { cluster_node -> set_process_hooks ( { [ & broker ] { broker . dispatcher ( ) . run_actions ( ) ; } , [ & broker ] { broker . refresh_endpoint_list ( ) ; } , [ & broker ] ( const std::string & endpoint ) { return broker . drain_endpoint ( endpoint ) ; } , [ & broker ] { broker . set_not_ready ( ) ; } , shut_down } ) ; } // A configuration that is missing, half written or invalid is ignored as a whole. 
-const SignalWatcher reload ( base , SIGHUP , [ & ] { if ( cluster_node ) cluster_node -> reload_keys ( ) ; 
+    const SignalWatcher stop(base, SIGTERM, shut_down);
+    if (cluster_node) {
+      cluster_node->set_process_hooks(
+          {[&broker] { broker.dispatcher().run_actions(); }, [&broker] { broker.refresh_endpoint_list(); },
+           [&broker](const std::string& endpoint) { return broker.drain_endpoint(endpoint); },
+           [&broker] { broker.set_not_ready(); }, shut_down});
+    }
+    // A configuration that is missing, half written or invalid is ignored as a whole.
+    const SignalWatcher reload(base, SIGHUP, [&] {
+      if (cluster_node) cluster_node->reload_keys();
       try {
         broker.apply_config(read_config(config_path));
       } catch (const std::exception& e) {
