--- a/src/shared_config/endpoint_gossip.cpp
+++ b/src/shared_config/endpoint_gossip.cpp
@@ -36,34 +36,37 @@
 void Hearsay::begins(std::uint64_t revision, bool whole) {
   own_ = revision;
   newest_ = std::max(newest_, revision);
-  whole_ = whole;
-  ++lists_;
+  list_is_complete_ = whole;
+  ++list_number_;
 }
 
 void Hearsay::node(const std::string& name, Time started, bool ready, bool gone) {
   const auto it = notices_.find(name);
   if (gone)
-    own_nodes_.erase(name);
+    listed_.erase(name);
   else
-    own_nodes_[name] = {started, lists_, ready};
+    listed_[name] = {started, list_number_, ready};
   if (ready) {
-    // The own list is as new as the notice, or newer: what it says counts.
+    // The own list is as new as the notice or newer, and overrides it.
     if (it != notices_.end() && it->second.revision <= own_) drop(it);
     return;
   }
-  // Known already, at this revision or an earlier one: no news.
+  // A notice of this revision or an earlier one says the same already.
   if (it != notices_.end() && it->second.gone == gone && it->second.started >= started) return;
   if (it != notices_.end() && it->second.revision > own_) return;
   put({name, started, gone, own_});
 }
 
 std::vector<std::string> Hearsay::ends() {
-  if (!whole_) return {};
+  if (!list_is_complete_) return {};
   std::vector<std::pair<std::string, Time>> ended;
   std::vector<std::string> names;
-  for (const auto& [name, own] : own_nodes_)
-    if (own.named_in != lists_) ended.emplace_back(name, own.started);
-  for (const auto& [name, started] : ended) node(name, started, false, true), names.push_back(name);
+  for (const auto& [name, listed] : listed_)
+    if (listed.list_number != list_number_) ended.emplace_back(name, listed.started);
+  for (const auto& [name, started] : ended) {
+    node(name, started, false, true);
+    names.push_back(name);
+  }
   return names;
 }
 
--- a/src/shared_config/endpoint_gossip.h
+++ b/src/shared_config/endpoint_gossip.h
@@ -1,10 +1,10 @@
-// Lists in common: what a broker has heard from others of drains and ends. No I/O and no clock.
+// Gossip among brokers about endpoints that are draining or gone. No I/O and no clock.
 //
-// All agents tell of one catalogue, whose revisions only grow. A notice says that a node, started then, was
-// draining or gone at a revision. Hearsay only ever withholds: it takes a node that the own list calls ready
-// out of use as long as the own list is older than the notice, and names nobody. Once the own list is as new,
-// it alone counts, so that a drain that was called off ends. A node that came back has a later start, which
-// no notice of its earlier life touches.
+// All brokers receive revisions of one endpoint list, at different times; revisions only grow. A notice says
+// that an endpoint, started at a given time, was draining or gone as of a revision. While a broker's own list
+// is older than a notice, the notice withholds an endpoint that the own list calls ready; a notice never adds
+// an endpoint. Once the own list is as new as the notice, only the list counts, so a cancelled drain ends. An
+// endpoint that came back has a later start time, and notices of its earlier process don't apply to it.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -17,52 +17,64 @@
 
 namespace cairnhub::shared_config {
 
+// Says that an endpoint was draining or gone as of a revision of the endpoint list.
 struct Notice {
   std::string node;
-  Time started = 0;  // Unix time; 0: long ago
-  bool gone = false;
+  Time started = 0;   // when the endpoint was started, Unix time; 0: unknown, long ago
+  bool gone = false;  // false: draining
   std::uint64_t revision = 0;
   bool operator==(const Notice&) const = default;
 };
 
 class Hearsay {
  public:
-  // The own list: begins, each node it names, ends. A whole one that names a known node no more says it is
-  // gone.
+  // Reads the own list: one call of `begins`, one of `node` for each endpoint, one of `ends`. `whole`: the
+  // list is complete, so a known endpoint that it doesn't name is gone; otherwise it holds changes only.
   void begins(std::uint64_t revision, bool whole);
   void node(const std::string& name, Time started, bool ready, bool gone);
-  std::vector<std::string> ends();  // the nodes that a whole list no longer names
-  void anew();                      // another catalogue: all is forgotten
+  // Returns the endpoints that a complete list no longer names.
+  std::vector<std::string> ends();
+  // Forgets everything: the broker now receives another list, with revisions of its own.
+  void anew();
 
-  // True where it's news here: to be told on.
+  // Handles a notice of another broker; returns true if it was new here and is to be passed on.
   bool heard(const Notice& n);
+  // Records that another broker holds a list of this revision.
   void heard_of(std::uint64_t revision) { newest_ = std::max(newest_, revision); }
 
+  // True if a notice newer than the own list withholds this endpoint.
   bool withheld(const std::string& name, Time started) const;
+  // Revision of the own list.
   std::uint64_t own() const { return own_; }
-  std::uint64_t newest() const { return newest_; }  // that anyone is known to hold
+  // The newest revision that any broker is known to hold.
+  std::uint64_t newest() const { return newest_; }
   bool behind() const { return own_ < newest_; }
-  // Notices newly come by, here or from others, since last asked.
+  // Returns the notices that were made or received since the last call.
   std::vector<Notice> news() { return std::exchange(news_, {}); }
   std::vector<Notice> all() const;
+  // Hash over all notices, independent of their order.
   std::uint64_t digest() const { return digest_; }
-  std::size_t withholding() const;  // how many notices count against the own list
+  // Returns the number of notices that are newer than the own list.
+  std::size_t withholding() const;
 
-  static constexpr std::size_t kMost = 4096;  // notices; those of the lowest revision go first
+  static constexpr std::size_t kMost = 4096;  // notices; the lowest revision is dropped first
 
  private:
   void put(const Notice& n);
   void drop(std::map<std::string, Notice>::iterator it);
-  std::map<std::string, Notice> notices_;
-  struct Own {
+  std::map<std::string, Notice> notices_;  // by endpoint
+  struct ListedEndpoint {
     Time started;
-    std::uint64_t named_in;
+    std::uint64_t list_number;  // the last list that named it
     bool ready;
   };
-  std::map<std::string, Own> own_nodes_;  // as long as the list names them
+  std::map<std::string, ListedEndpoint> listed_;
   std::vector<Notice> news_;
-  std::uint64_t own_ = 0, newest_ = 0, lists_ = 0, digest_ = 0;
-  bool whole_ = false;
+  std::uint64_t own_ = 0;
+  std::uint64_t newest_ = 0;
+  std::uint64_t list_number_ = 0;  // counts the lists that were read
+  std::uint64_t digest_ = 0;
+  bool list_is_complete_ = false;
 };
 
 }  // namespace cairnhub::shared_config
--- a/src/shared_config/rule_set.cpp
+++ b/src/shared_config/rule_set.cpp
@@ -14,22 +14,24 @@
 namespace {
 
 constexpr Time kMs = kSecond / 1000;
-constexpr int kNamesMost = 4096;
+constexpr int kMaxNames = 4096;
 
-std::set<std::string> either(const std::set<std::string>& a, const std::set<std::string>& b) {
-  std::set<std::string> all = a;
-  all.insert(b.begin(), b.end());
-  return all;
+std::set<std::string> union_of(const std::set<std::string>& a, const std::set<std::string>& b) {
+  std::set<std::string> names = a;
+  names.insert(b.begin(), b.end());
+  return names;
 }
 
-bool good(const std::string& name) {
+bool is_valid_name(const std::string& name) {
   if (name.empty() || name.size() > 128) return false;
   return std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c <= '~' && c != '"'; });
 }
 
-std::string missing(const std::set<std::string>& in, const std::set<std::string>& of, const char* what) {
-  for (const auto& name : of)
-    if (!in.count(name)) return std::string(what) + " \"" + name + "\"";
+// Describes the first of `names` that is not in `known`; empty if all of them are.
+std::string first_missing_name(const std::set<std::string>& known, const std::set<std::string>& names,
+                               const char* field) {
+  for (const auto& name : names)
+    if (!known.count(name)) return std::string(field) + " \"" + name + "\"";
   return "";
 }
 
@@ -66,10 +68,10 @@
   }
   m.sends_most = std::min(a.sends_most, b.sends_most);
   m.second_copies = a.second_copies && b.second_copies;
-  m.two_phase_off = either(a.two_phase_off, b.two_phase_off);
-  m.index_off = either(a.index_off, b.index_off);
-  m.withheld = either(a.withheld, b.withheld);
-  m.at_work = either(a.at_work, b.at_work);
+  m.two_phase_off = union_of(a.two_phase_off, b.two_phase_off);
+  m.index_off = union_of(a.index_off, b.index_off);
+  m.withheld = union_of(a.withheld, b.withheld);
+  m.at_work = union_of(a.at_work, b.at_work);
   m.list_floor = std::max(a.list_floor, b.list_floor);
   m.zones = ZoneShares{std::min(a.zones.otherwise, b.zones.otherwise), {}};
   for (const ZoneShares* z : {&a.zones, &b.zones})
@@ -91,10 +93,10 @@
   }
   if (a.sends_most > b.sends_most) return "sends_most";
   if (a.second_copies && !b.second_copies) return "second_copies";
-  if (auto m = missing(a.two_phase_off, b.two_phase_off, "two_phase_off"); !m.empty()) return m;
-  if (auto m = missing(a.index_off, b.index_off, "index_off"); !m.empty()) return m;
-  if (auto m = missing(a.withheld, b.withheld, "withheld_node"); !m.empty()) return m;
-  if (auto m = missing(a.at_work, b.at_work, "at_work"); !m.empty()) return m;
+  if (auto m = first_missing_name(a.two_phase_off, b.two_phase_off, "two_phase_off"); !m.empty()) return m;
+  if (auto m = first_missing_name(a.index_off, b.index_off, "index_off"); !m.empty()) return m;
+  if (auto m = first_missing_name(a.withheld, b.withheld, "withheld_node"); !m.empty()) return m;
+  if (auto m = first_missing_name(a.at_work, b.at_work, "at_work"); !m.empty()) return m;
   if (a.list_floor < b.list_floor) return "list_floor";
   if (a.zones.otherwise > b.zones.otherwise) return "zone_shares between zones not named";
   for (const ZoneShares* z : {&a.zones, &b.zones})
@@ -107,80 +109,82 @@
 bool within(const Rules& a, const Rules& b) { return beyond(a, b).empty(); }
 
 Rules parse_rules(const std::string& text, const std::string& file) {
-  const auto complain = [&](const std::string& what) { throw RulesError(file + ":" + what); };
-  if (text.size() > kRulesTextMost) complain(" longer than 64 KiB");
-  accord::rules::Rules m;
+  const auto fail = [&](const std::string& what) { throw RulesError(file + ":" + what); };
+  if (text.size() > kRulesTextMost) fail(" the rules are longer than 64 KiB");
+  accord::rules::Rules message;
   google::protobuf::TextFormat::Parser parser;
   FirstError error;
   parser.RecordErrorsTo(&error);
-  if (!parser.ParseFromString(text, &m)) complain(error.text.empty() ? " can't be used" : error.text);
+  if (!parser.ParseFromString(text, &message))
+    fail(error.text.empty() ? " the rules are not valid protobuf text" : error.text);
   Rules out;
-  for (const auto& o : m.op_type()) {
-    if (!good(o.name())) complain(" op_type: name is missing or no name");
+  for (const auto& o : message.op_type()) {
+    if (!is_valid_name(o.name())) fail(" op_type: name is missing or invalid");
     const auto [it, fresh] = out.op_types.try_emplace(o.name());
-    if (!fresh) complain(" op_type: \"" + o.name() + "\" stands twice");
+    if (!fresh) fail(" op_type: \"" + o.name() + "\" is listed twice");
     OpRule& r = it->second;
     if (o.has_served()) r.served = o.served();
     if (o.has_time_most_ms()) {
       if (o.time_most_ms() < 1 || o.time_most_ms() > 3600000)
-        complain(" time_most_ms is " + std::to_string(o.time_most_ms()) + "; allowed is 1 to 3600000");
+        fail(" time_most_ms is " + std::to_string(o.time_most_ms()) + "; allowed is 1 to 3600000");
       r.time_most = Time{o.time_most_ms()} * kMs;
     }
     if (o.has_held_most()) {
       if (o.held_most() > 1000000)
-        complain(" held_most is " + std::to_string(o.held_most()) + "; allowed is 0 to 1000000");
+        fail(" held_most is " + std::to_string(o.held_most()) + "; allowed is 0 to 1000000");
       r.held_most = static_cast<int>(o.held_most());
     }
     if (o.has_latency_budget_most_ms()) {
       if (o.latency_budget_most_ms() < 1 || o.latency_budget_most_ms() > 3600000)
-        complain(" latency_budget_most_ms is " + std::to_string(o.latency_budget_most_ms()) +
-                 "; allowed is 1 to 3600000");
+        fail(" latency_budget_most_ms is " + std::to_string(o.latency_budget_most_ms()) +
+             "; allowed is 1 to 3600000");
       r.budget_most = Time{o.latency_budget_most_ms()} * kMs;
     }
     if (o.has_least_share()) {
-      if (!(o.least_share() >= 0 && o.least_share() <= 1))  // no number isn't either
-        complain(" least_share is " + std::to_string(o.least_share()) + "; allowed is 0 to 1");
+      if (!(o.least_share() >= 0 && o.least_share() <= 1))  // NaN is rejected too
+        fail(" least_share is " + std::to_string(o.least_share()) + "; allowed is 0 to 1");
       r.least_share = o.least_share();
     }
     if (o.has_crossing_bytes_most()) r.crossing_most = o.crossing_bytes_most();
     if (r == OpRule{}) out.op_types.erase(it);
   }
-  if (m.has_sends_most()) {
-    if (m.sends_most() < 1 || m.sends_most() > 100)
-      complain(" sends_most is " + std::to_string(m.sends_most()) + "; allowed is 1 to 100");
-    out.sends_most = static_cast<int>(m.sends_most());
+  if (message.has_sends_most()) {
+    if (message.sends_most() < 1 || message.sends_most() > 100)
+      fail(" sends_most is " + std::to_string(message.sends_most()) + "; allowed is 1 to 100");
+    out.sends_most = static_cast<int>(message.sends_most());
   }
-  if (m.has_second_copies()) out.second_copies = m.second_copies();
-  if (m.op_type_size() + m.two_phase_off_size() + m.index_off_size() + m.withheld_node_size() +
-          m.at_work_size() >
-      kNamesMost)
-    complain(" more than 4096 names");
-  const auto names = [&](const auto& list, const char* what, std::set<std::string>& into) {
+  if (message.has_second_copies()) out.second_copies = message.second_copies();
+  if (message.op_type_size() + message.two_phase_off_size() + message.index_off_size() +
+          message.withheld_node_size() + message.at_work_size() >
+      kMaxNames)
+    fail(" more than 4096 names");
+  const auto read_names = [&](const auto& list, const char* field, std::set<std::string>& into) {
     for (const std::string& n : list) {
-      if (!good(n)) complain(std::string(" ") + what + ": '" + n + "' is no name");
+      if (!is_valid_name(n)) fail(std::string(" ") + field + ": '" + n + "' is not a valid name");
       into.insert(n);
     }
   };
-  names(m.two_phase_off(), "two_phase_off", out.two_phase_off);
-  names(m.index_off(), "index_off", out.index_off);
-  names(m.withheld_node(), "withheld_node", out.withheld);
-  names(m.at_work(), "at_work", out.at_work);
-  out.list_floor = m.list_floor();
-  const auto thousandths = [&](std::uint32_t n, const char* what) {
+  read_names(message.two_phase_off(), "two_phase_off", out.two_phase_off);
+  read_names(message.index_off(), "index_off", out.index_off);
+  read_names(message.withheld_node(), "withheld_node", out.withheld);
+  read_names(message.at_work(), "at_work", out.at_work);
+  out.list_floor = message.list_floor();
+  const auto read_thousandths = [&](std::uint32_t n, const char* field) {
     if (n > 1000)
-      complain(std::string(" zone_shares: ") + what + " is " + std::to_string(n) + "; allowed is 0 to 1000");
+      fail(std::string(" zone_shares: ") + field + " is " + std::to_string(n) + "; allowed is 0 to 1000");
     return static_cast<int>(n);
   };
-  if (m.zone_shares().has_otherwise())
-    out.zones.otherwise = thousandths(m.zone_shares().otherwise(), "otherwise");
-  if (m.zone_shares().share_size() > kNamesMost) complain(" zone_shares: more than 4096 pairs");
-  for (const auto& z : m.zone_shares().share()) {
-    if (!good(z.from()) || !good(z.to())) complain(" zone_shares: from or to is no name");
-    if (z.from() == z.to()) complain(" zone_shares: \"" + z.from() + "\" to itself is not limited");
-    if (!z.has_most()) complain(" zone_shares: most is missing");
+  if (message.zone_shares().has_otherwise())
+    out.zones.otherwise = read_thousandths(message.zone_shares().otherwise(), "otherwise");
+  if (message.zone_shares().share_size() > kMaxNames) fail(" zone_shares: more than 4096 pairs");
+  for (const auto& z : message.zone_shares().share()) {
+    if (!is_valid_name(z.from()) || !is_valid_name(z.to()))
+      fail(" zone_shares: from or to is missing or invalid");
+    if (z.from() == z.to()) fail(" zone_shares: \"" + z.from() + "\" to itself can't be limited");
+    if (!z.has_most()) fail(" zone_shares: most is missing");
     if (out.zones.most.count({z.from(), z.to()}))
-      complain(" zone_shares: \"" + z.from() + "\" to \"" + z.to() + "\" stands twice");
-    out.zones.set(z.from(), z.to(), thousandths(z.most(), "most"));
+      fail(" zone_shares: \"" + z.from() + "\" to \"" + z.to() + "\" is listed twice");
+    out.zones.set(z.from(), z.to(), read_thousandths(z.most(), "most"));
   }
   return out;
 }
@@ -211,7 +215,9 @@
       m.mutable_zone_shares()->set_otherwise(static_cast<std::uint32_t>(rules.zones.otherwise));
     for (const auto& [pair, most] : rules.zones.most) {
       auto* z = m.mutable_zone_shares()->add_share();
-      z->set_from(pair.first), z->set_to(pair.second), z->set_most(static_cast<std::uint32_t>(most));
+      z->set_from(pair.first);
+      z->set_to(pair.second);
+      z->set_most(static_cast<std::uint32_t>(most));
     }
   }
   std::string text;
@@ -220,7 +226,7 @@
 }
 
 std::string hash_of(const std::string& text) {
-  unsigned char h[16];  // the least that the library gives; eight of them tell versions apart
+  unsigned char h[16];  // the shortest hash of the library; the text form uses half of it
   crypto_generichash(h, sizeof h, reinterpret_cast<const unsigned char*>(text.data()), text.size(), nullptr,
                      0);
   char hex[17];
--- a/src/shared_config/rule_set.h
+++ b/src/shared_config/rule_set.h
@@ -1,20 +1,15 @@
-// Rules that brokers hold in common. They form a meet-semilattice: of any two there is a greatest rule set
-// that allows nothing either forbids. That is what makes a common ground: who acts on the meet of two
-// versions contradicts neither.
+// Restrictions that all brokers apply, written by operators on top of each broker's own settings.
 //
-// | rule          | wider            | the meet of two        |
-// | served        | true             | true in both           |
-// | time_most     | longer           | the shorter            |
-// | held_most     | more             | the fewer              |
-// | budget_most   | longer           | the shorter            |
-// | least_share   | less             | the greater            |
-// | crossing_most | more             | the fewer              |
-// | sends_most    | more             | the fewer              |
-// | second_copies | true             | true in both           |
-// | two_phase_off, index_off, withheld | fewer names | the names of either |
-// | list_floor    | lower            | the higher             |
-// | zone_shares   | more, by pair    | the less               |
-// | at_work       | fewer nodes      | the nodes of either    |
+// Rule sets form a meet-semilattice: for any two there is a greatest rule set that allows nothing that either
+// of them forbids, the meet. A broker that acts on the meet of two versions contradicts neither of them.
+//
+// | rule                                               | allows more  | meet of two            |
+// | -------------------------------------------------- | ------------ | ---------------------- |
+// | served, second copies                              | true         | true only if both are  |
+// | time, held, budget, crossing bytes, attempts       | larger       | the smaller            |
+// | least share, list floor                            | smaller      | the larger             |
+// | two-phase off, index off, withheld, nodes at work  | fewer names  | the union of the names |
+// | zone shares, per pair of zones                     | larger       | the smaller            |
 #pragma once
 #include <climits>
 #include <cstdint>
@@ -28,54 +23,64 @@
 
 namespace cairnhub::shared_config {
 
+// The restrictions of one request class. The default restricts nothing.
 struct OpRule {
-  bool served = true;
-  Time time_most = kNever;
-  int held_most = INT_MAX;
-  Time budget_most = kNever;
-  double least_share = 0;
-  std::int64_t crossing_most = INT64_MAX;  // bytes a second between zones, of one broker
+  bool served = true;                      // false: requests are rejected on arrival
+  Time time_most = kNever;                 // of a request, even if its client would wait longer
+  int held_most = INT_MAX;                 // requests in progress at one broker
+  Time budget_most = kNever;               // a later answer counts as late
+  double least_share = 0;                  // of the weight, for a partial answer; 0 to 1
+  std::int64_t crossing_most = INT64_MAX;  // sent by one broker between zones
   bool operator==(const OpRule&) const = default;
 };
 
-// How much of its parts a zone's brokers may send to each other zone, in thousandths. Their own zone is never
-// forbidden them.
+// The share of its shard requests that a zone's brokers may send to each other zone, in thousandths. Requests
+// within a zone are never restricted.
 struct ZoneShares {
-  int otherwise = 1000;                                     // pairs not named
-  std::map<std::pair<std::string, std::string>, int> most;  // from, to: never as `otherwise`
+  int otherwise = 1000;  // for pairs that are not listed
+  std::map<std::pair<std::string, std::string>, int>
+      most;  // key: (from, to); holds no entry that equals the default
+  // Returns the share of the pair, in thousandths.
   int of(const std::string& from, const std::string& to) const;
   void set(const std::string& from, const std::string& to, int thousandths);
   bool operator==(const ZoneShares&) const = default;
 };
 
+// One complete set of restrictions. The default restricts nothing.
 struct Rules {
-  std::map<std::string, OpRule> op_types;  // none of them says nothing
-  int sends_most = INT_MAX;
-  bool second_copies = true;
-  std::set<std::string> two_phase_off, index_off, withheld;
-  std::uint64_t list_floor = 0;
+  std::map<std::string, OpRule> op_types;  // without entries that restrict nothing
+  int sends_most = INT_MAX;                // attempts of one shard request
+  bool second_copies = true;               // false: no hedged attempts
+  std::set<std::string> two_phase_off;     // request classes that may not run in two phases
+  std::set<std::string> index_off;         // indices that are not served
+  std::set<std::string> withheld;          // endpoints that receive no new attempts
+  std::uint64_t list_floor = 0;            // endpoint lists of a lower revision are ignored
   ZoneShares zones;
-  std::set<std::string> at_work;  // nodes that are taken out for work, or being so
+  std::set<std::string> at_work;  // endpoints that maintenance has taken out of service or is taking out
   bool operator==(const Rules&) const = default;
 
+  // Returns the restrictions of a request class; the default ones if it has no entry.
   const OpRule& of(const std::string& op_type) const;
 };
 
+// Returns the greatest rule set that allows nothing that `a` or `b` forbids.
 Rules meet(const Rules& a, const Rules& b);
-// `a` allows nothing that `b` forbids.
+// True if `a` allows nothing that `b` forbids.
 bool within(const Rules& a, const Rules& b);
-// The first thing that `a` allows and `b` forbids, in words; empty where a is within b.
+// Describes the first rule by which `a` allows more than `b`; empty if there is none.
 std::string beyond(const Rules& a, const Rules& b);
 
-// One line: the place, the field, and what is allowed.
+// A rule set that cannot be parsed. what() is one line: the file, the field and the allowed values.
 struct RulesError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
-Rules parse_rules(const std::string& text, const std::string& file);  // throws RulesError
-// The one text of these rules: equal rules give equal text.
+// Parses rules in protobuf text format. `file` names the source in errors. Throws RulesError.
+Rules parse_rules(const std::string& text, const std::string& file);
+// Returns the canonical text form: equal rule sets have equal texts.
 std::string text_of(const Rules& rules);
-std::string hash_of(const std::string& text);  // 16 hex digits (BLAKE2b, 64 bits)
+// Returns 64 bits of the BLAKE2b hash of `text` as 16 hex digits.
+std::string hash_of(const std::string& text);
 
-constexpr std::size_t kRulesTextMost = 64 << 10;  // bytes
+constexpr std::size_t kRulesTextMost = 64 << 10;
 
 }  // namespace cairnhub::shared_config
--- a/src/shared_config/shared_config_node.h
+++ b/src/shared_config/shared_config_node.h
@@ -1,8 +1,8 @@
-// Agreement among brokers: the log of versions where this broker votes, leases on them, and proposals, put
-// together. No I/O and no clock: feed it messages and the time, pull what goes out.
+// One broker's part in the shared configuration: its lease client and, if it may vote, the replicated log and
+// the lease manager. No I/O and no clock: the caller passes in messages and the time and takes messages out.
 //
-// Every broker is a holder and asks the leader for leases. Those with a store run the log's engine and may
-// vote; the leader's engine keeps the book from which leases are granted.
+// Every broker asks the leader for leases. A broker with a store runs a Raft node and may vote; the leader's
+// Raft node holds the versions that leases are granted on.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -25,88 +25,107 @@
 
 namespace cairnhub::shared_config {
 
+// Settings of a SharedConfigNode.
 struct Terms {
   LeaseTerms lease;
   EngineTerms engine;
-  std::vector<std::string> voters;     // as stated: where to ask first
-  Time replace_after = 30 * kSecond;   // a voter lost for so long gives way to another
-  Time propose_within = 10 * kSecond;  // an operator's proposal is given up then
-  std::uint32_t life = 0;              // of this process: another each time it starts
+  std::vector<std::string> voters;     // as configured; the first to be asked for the leader
+  Time replace_after = 30 * kSecond;   // a voter that is lost for so long is replaced
+  Time propose_within = 10 * kSecond;  // a proposal without an answer is given up
+  std::uint32_t life = 0;              // incarnation of the process; grows with each restart
 };
 
+// The state of a SharedConfigNode, for operators.
 struct Status {
   Acting acting;
-  Time lease_left = 0;  // 0: none
-  std::string leader;
-  std::uint64_t term = 0, have = 0, ground = 0, ground_next = 0;
-  bool leads = false, votes = false, store_failed = false;
-  // Of the log, where this broker's engine runs:
-  std::uint64_t newest = 0, in_force = 0;
+  Time lease_left = 0;  // 0: no lease
+  std::string leader;   // empty: unknown
+  std::uint64_t term = 0;
+  std::uint64_t have = 0;         // newest version held
+  std::uint64_t ground = 0;       // number of the baseline
+  std::uint64_t ground_next = 0;  // number of the next baseline; 0: none
+  bool leads = false;
+  bool votes = false;
+  bool store_failed = false;
+  // Set only if this broker runs a Raft node:
+  std::uint64_t newest = 0;
+  std::uint64_t in_force = 0;
   std::vector<Voter> voters;
-  std::vector<std::string> force_waits_for, ground_waits_for;  // at the leader
+  // Set only at the leader: the brokers that delay the newest version or the next baseline.
+  std::vector<std::string> force_waits_for;
+  std::vector<std::string> ground_waits_for;
 };
 
 class Accord {
  public:
-  // `store` null: it learns and does not vote. `ground`: what it acts on as long as it knows no other.
-  // `board`: the empty one, where the log carries one.
+  // `store`: null for a broker that never votes. `ground`: the baseline until a stored or received one
+  // replaces it. `board`: the initial state of the additional state machine, if the log drives one.
   Accord(const Terms& terms, const std::string& self, Store* store, Rules ground, std::uint64_t seed,
          std::shared_ptr<const Board> board = nullptr);
   ~Accord();
 
   void start(Time now);
+  // To be called at the time that `wake` returns.
   void woken(Time now);
   Time wake() const;
+  // Handles a message of the broker `from`.
   void received(Time now, const std::string& from, const accord::wire::Packet& packet);
   struct Outgoing {
     std::string to;
     std::string bytes;  // a wire::Packet
   };
+  // Returns the next message to send; to be called until it returns none, after each of the calls above.
   std::optional<Outgoing> send();
 
   const std::shared_ptr<const Acting>& acting(Time now) const { return holder_.acting(now); }
+  // True once any leader has answered this process.
   bool ever_answered() const { return ever_answered_; }
-  void keep_ground(const Version& ground) { holder_.keep(ground); }  // of an earlier life, before the start
+  // Restores the baseline that an earlier process stored. To be called before `start`.
+  void keep_ground(const Version& ground) { holder_.keep(ground); }
 
-  // What is known of another broker from outside, by membership.
+  // Takes up what the membership protocol knows of another broker.
   void peer(Time now, const std::string& name, bool alive);
 
-  // An operator's entry, made here. `done` is told once: the verdict, or none where time ran out.
+  // Proposes an entry to the log. `done` is called once, with the result, or with none if time ran out.
   using Done = std::function<void(const std::optional<Verdict>&)>;
   void propose(Time now, Entry entry, Done done);
-  // Brokers that are about to be taken out: where they vote, others take their place at once; where this one
-  // leads and is among them, it hands over the lead.
+  // Names the brokers that are about to be taken out of service. Voters among them are replaced at once; if
+  // this broker is among them and leads, it transfers leadership.
   void retire(std::set<std::string> names) { retiring_ = std::move(names); }
-  // Who holds a lease, as this broker knows where it leads.
+  // The leases that this broker has granted as leader.
   const Leases& leases() const { return leases_; }
-  void leave(Time now);  // hands back its lease and, where it leads, the lead
+  // Hands back its lease and, if it leads, transfers leadership.
+  void leave(Time now);
 
-  // What is known here of the versions: the log's book where the engine runs, else what leases brought.
+  // Returns the known versions: those of the log if this broker runs a Raft node, else those of its grants.
   std::vector<Version> history() const;
   const Holder& holder() const { return holder_; }
-  const std::string& leader() const { return leader_; }  // last heard of; empty: not known
+  // The last known leader; empty: unknown.
+  const std::string& leader() const { return leader_; }
+  // Null if this broker has no store.
   const Engine* engine() const { return engine_.get(); }
   Status status(Time now) const;
-  // Told each entry that the log applied here.
+  // Called for each entry that the log applies here. Optional.
   std::function<void(const Entry&, const Verdict&)> applied;
 
  private:
-  struct Pending {
+  struct PendingProposal {
     Entry entry;
     Done done;
-    Time until, again;
+    Time deadline;
+    Time next_try;
   };
   void post(const std::string& to, const accord::wire::Packet& packet);
-  void turn(Time now);
-  void lead(Time now);
-  void ask(Time now);
-  void forward(Time now);
-  void asked(Time now, const std::string& by, const Ask& ask);
-  void confirm_round(Time now);
-  void mend_voters(Time now);
-  std::string somewhere();
-  void settled(const std::string& id, const std::optional<Verdict>& verdict);
-  void answer(Time now, const std::string& to, const Grant& grant);
+  void run(Time now);
+  void do_leader_work(Time now);
+  void request_lease(Time now);
+  void forward_proposals(Time now);
+  void handle_lease_request(Time now, const std::string& by, const Ask& ask);
+  void start_confirmation_round(Time now);
+  void repair_voters(Time now);
+  std::string possible_leader();
+  void finish_proposal(const std::string& id, const std::optional<Verdict>& result);
+  void send_grant(Time now, const std::string& to, const Grant& grant);
 
   Terms terms_;
   std::string self_;
@@ -114,16 +133,24 @@
   Holder holder_;
   std::unique_ptr<Engine> engine_;
   Leases leases_;
-  std::string leader_;  // last heard of
-  int unanswered_ = 0;  // askings since the leader last answered
-  bool ever_answered_ = false, started_ = false, leaving_ = false;
-  bool led_ = false, force_out_ = false, ground_out_ = false;
-  std::uint64_t led_term_ = 0, told_newest_ = 0, told_ground_ = 0;
-  std::set<std::string> enlist_out_;
-  std::map<std::string, Time> dead_since_;  // others, as membership tells
-  std::set<std::string> alive_, retiring_;
-  std::vector<Pending> pending_;
-  Time next_tick_ = kNever, next_mend_ = kNever;
+  std::string leader_;           // last known
+  int unanswered_requests_ = 0;  // since the leader last answered
+  bool ever_answered_ = false;
+  bool started_ = false;
+  bool leaving_ = false;
+  bool was_leader_ = false;  // as of the last run of the leader's work
+  bool force_in_progress_ = false;
+  bool ground_in_progress_ = false;
+  std::uint64_t led_term_ = 0;
+  std::uint64_t announced_versions_ = 0;  // sum of the newest version and the one in force
+  std::uint64_t announced_ground_ = 0;
+  std::set<std::string> enrolling_;         // brokers whose entry is in progress
+  std::map<std::string, Time> dead_since_;  // other brokers, by membership
+  std::set<std::string> alive_;             // other brokers, by membership
+  std::set<std::string> retiring_;
+  std::vector<PendingProposal> pending_;
+  Time next_tick_ = kNever;
+  Time next_voter_repair_ = kNever;
   std::deque<Outgoing> out_;
 };
 
--- a/src/shared_config/version_history.cpp
+++ b/src/shared_config/version_history.cpp
@@ -8,18 +8,19 @@
 
 namespace {
 
-Version make(std::uint64_t number, Rules rules, const Entry& e) {
+Version make_version(std::uint64_t number, Rules rules, const Entry& e) {
   Version v;
   v.number = number;
   v.text = text_of(rules);
   v.hash = hash_of(v.text);
-  v.who = e.who, v.why = e.why, v.id = e.id, v.note = e.note;
+  v.who = e.who;
+  v.why = e.why;
+  v.id = e.id;
+  v.note = e.note;
   v.rules = std::make_shared<const Rules>(std::move(rules));
   return v;
 }
 
-std::string said(std::uint64_t n) { return std::to_string(n); }
-
 }  // namespace
 
 std::string encode(const Entry& entry) {
@@ -56,8 +57,9 @@
 
 Versions::Versions(std::shared_ptr<const Board> board) : board_(std::move(board)) {
   Entry first;
-  first.who = "cairnhub", first.why = "what the platform's settings allow";
-  versions_[1] = make(1, Rules{}, first);
+  first.who = "cairnhub";
+  first.why = "what the platform's settings allow";
+  versions_[1] = make_version(1, Rules{}, first);
   ground_ = versions_[1];
 }
 
@@ -75,11 +77,11 @@
     case Entry::Kind::ground_works:
     case Entry::Kind::board:
     case Entry::Kind::order: {
-      // Danger: a proposer that heard nothing says the same again; it must not become two versions.
+      // A proposer that got no answer repeats its proposal, which must not become two versions.
       for (const auto& [id, number] : seen_)
-        if (id == e.id) return {number, number ? "" : "refused before"};
-      const Verdict v = e.kind == Entry::Kind::order            ? order(e)
-                        : e.kind == Entry::Kind::board          ? on_board(e)
+        if (id == e.id) return {number, number ? "" : "this proposal was rejected before"};
+      const Verdict v = e.kind == Entry::Kind::order            ? set_zone_order(e)
+                        : e.kind == Entry::Kind::board          ? apply_to_board(e)
                         : e.kind == Entry::Kind::propose_ground ? propose_ground(e)
                         : e.kind == Entry::Kind::ground_works   ? propose_ground(e)
                                                                 : propose(e);
@@ -88,40 +90,45 @@
       return v;
     }
     case Entry::Kind::force:
-      if (e.number <= in_force_ || !versions_.count(e.number)) return {0, "not a version that waits"};
+      if (e.number <= in_force_ || !versions_.count(e.number))
+        return {0, "version " + std::to_string(e.number) + " doesn't wait for force"};
       in_force_ = e.number;
-      forget_old();
+      drop_old_versions();
       return {e.number, ""};
     case Entry::Kind::force_ground:
-      if (!ground_next_ || ground_next_->number != e.number) return {0, "not a ground that waits"};
+      if (!ground_next_ || ground_next_->number != e.number)
+        return {0, "ground " + std::to_string(e.number) + " is not the next ground"};
       ground_ = std::move(*ground_next_);
       ground_next_.reset();
       return {e.number, ""};
     case Entry::Kind::enlist:
-      if (roster_.size() >= kRoster) return {0, "the roster is full"};
+      if (roster_.size() >= kRoster)
+        return {0, "the roster is full: at most " + std::to_string(kRoster) + " brokers"};
       roster_.insert(e.name);
       return {1, ""};
     case Entry::Kind::strike:
-      if (roster_.erase(e.name) == 0) return {0, "no such broker on the roster"};
+      if (roster_.erase(e.name) == 0) return {0, "broker \"" + e.name + "\" is not on the roster"};
       return {1, ""};
   }
-  return {0, "unknown"};
+  return {0, "unknown kind of entry"};
 }
 
-Verdict Versions::order(const Entry& e) {
-  if (e.name.empty()) return {0, "of which zone?"};
+Verdict Versions::set_zone_order(const Entry& e) {
+  if (e.name.empty()) return {0, "the order names no zone"};
   if (e.text.empty()) {
     if (orders_.erase(e.name) == 0) return {0, "nothing is ordered of zone \"" + e.name + "\""};
     return {1, ""};
   }
-  if (e.text != "evacuate" && e.text != "hold") return {0, "no such order: " + e.text};
-  if (orders_.size() >= kOrders && !orders_.count(e.name)) return {0, "too many orders"};
+  if (e.text != "evacuate" && e.text != "hold")
+    return {0, "order is \"" + e.text + "\"; allowed is evacuate or hold"};
+  if (orders_.size() >= kOrders && !orders_.count(e.name))
+    return {0, "too many zone orders: at most " + std::to_string(kOrders)};
   orders_[e.name] = {e.text, e.who, e.why};
   return {1, ""};
 }
 
-Verdict Versions::on_board(const Entry& e) {
-  if (!board_) return {0, "there is no such board here"};
+Verdict Versions::apply_to_board(const Entry& e) {
+  if (!board_) return {0, "this log carries no entries of that kind"};
   std::shared_ptr<const Board> next;
   const Verdict v = board_->apply(e, next);
   if (next) board_ = std::move(next);
@@ -129,15 +136,19 @@
 }
 
 Verdict Versions::propose(const Entry& e) {
-  const bool zones = e.kind == Entry::Kind::propose_zones, works = e.kind == Entry::Kind::propose_works;
+  const bool zones = e.kind == Entry::Kind::propose_zones;
+  const bool works = e.kind == Entry::Kind::propose_works;
   if (zones && e.base != zones_from_)
-    return {0, "the zone shares are those of version " + said(zones_from_) + ", not " + said(e.base)};
+    return {0, "the zone shares are those of version " + std::to_string(zones_from_) + ", not " +
+                   std::to_string(e.base)};
   if (works && e.base != works_from_)
-    return {0, "the nodes at work are those of version " + said(works_from_) + ", not " + said(e.base)};
+    return {0, "the nodes at work are those of version " + std::to_string(works_from_) + ", not " +
+                   std::to_string(e.base)};
   if (!zones && !works && (e.base < settings_from_ || e.base > newest()))
-    return {0,
-            "the newest version is " + said(newest()) + ", not " + said(e.base) + ": look and propose anew"};
-  if (newest() - in_force_ >= kWaiting) return {0, said(kWaiting) + " versions wait for force already"};
+    return {0, "the newest version is " + std::to_string(newest()) + ", not " + std::to_string(e.base) +
+                   ": look and propose anew"};
+  if (newest() - in_force_ >= kWaiting)
+    return {0, std::to_string(kWaiting) + " versions wait for force already"};
   Rules rules;
   try {
     rules = parse_rules(e.text, "rules");
@@ -156,27 +167,30 @@
     rules.at_work = std::move(nodes);
     made.note = last.note;
   } else {
-    // Settings, zone shares and works are made by different hands: what says nothing of the other's leaves it
-    // be. Danger: an operator who goes back to an older version would bring a machine at work into use.
+    // Operators, zone failover and maintenance each own a part of the rules, and a proposal leaves the parts
+    // of the others as they are. Otherwise an operator who returns to an older version would put a machine in
+    // maintenance back into service.
     if (rules.zones == ZoneShares{}) rules.zones = last.rules->zones;
     rules.at_work = last.rules->at_work;
     made.note = last.note;
   }
-  for (const Version* g : {&ground_, ground_next_ ? &*ground_next_ : nullptr})
-    if (g)
-      if (const std::string what = beyond(*g->rules, rules); !what.empty())
-        return {0, "contradicts the common ground, which allows more: " + what + "; propose a ground first"};
+  for (const Version* baseline : {&ground_, ground_next_ ? &*ground_next_ : nullptr})
+    if (baseline)
+      if (const std::string excess = beyond(*baseline->rules, rules); !excess.empty())
+        return {0,
+                "contradicts the common ground, which allows more: " + excess + "; propose a ground first"};
   const std::uint64_t number = newest() + 1;
-  versions_[number] = make(number, std::move(rules), made);
+  versions_[number] = make_version(number, std::move(rules), made);
   (zones ? zones_from_ : works ? works_from_ : settings_from_) = number;
   return {number, ""};
 }
 
 Verdict Versions::propose_ground(const Entry& e) {
-  if (ground_next_) return {0, "ground " + said(ground_next_->number) + " is still being taken up"};
+  if (ground_next_) return {0, "ground " + std::to_string(ground_next_->number) + " is still being taken up"};
   const bool works = e.kind == Entry::Kind::ground_works;
   if (works ? e.base != ground_works_from_ : e.base < ground_settings_from_ || e.base > ground_.number)
-    return {0, "the ground is " + said(ground_.number) + ", not " + said(e.base) + ": look and propose anew"};
+    return {0, "the ground is " + std::to_string(ground_.number) + ", not " + std::to_string(e.base) +
+                   ": look and propose anew"};
   Rules rules;
   try {
     rules = parse_rules(e.text, "rules");
@@ -192,14 +206,14 @@
     rules.at_work = ground_.rules->at_work;
   }
   for (auto it = versions_.lower_bound(in_force_); it != versions_.end(); ++it)
-    if (const std::string what = beyond(rules, *it->second.rules); !what.empty())
-      return {0, "allows more than version " + said(it->first) + ": " + what};
-  ground_next_ = make(ground_.number + 1, std::move(rules), e);
+    if (const std::string excess = beyond(rules, *it->second.rules); !excess.empty())
+      return {0, "allows more than version " + std::to_string(it->first) + ": " + excess};
+  ground_next_ = make_version(ground_.number + 1, std::move(rules), e);
   (works ? ground_works_from_ : ground_settings_from_) = ground_next_->number;
   return {ground_next_->number, ""};
 }
 
-void Versions::forget_old() {
+void Versions::drop_old_versions() {
   while (versions_.size() > kKept && versions_.begin()->first + kKept <= in_force_)
     versions_.erase(versions_.begin());
 }
@@ -211,13 +225,22 @@
   put(ground_, *s.mutable_ground());
   if (ground_next_) put(*ground_next_, *s.mutable_ground_next());
   for (const auto& name : roster_) s.add_roster(name);
-  s.set_zones_from(zones_from_), s.set_works_from(works_from_), s.set_settings_from(settings_from_);
-  s.set_ground_works_from(ground_works_from_), s.set_ground_settings_from(ground_settings_from_);
+  s.set_zones_from(zones_from_);
+  s.set_works_from(works_from_);
+  s.set_settings_from(settings_from_);
+  s.set_ground_works_from(ground_works_from_);
+  s.set_ground_settings_from(ground_settings_from_);
   for (const auto& [zone, order] : orders_) {
     auto* o = s.add_order();
-    o->set_zone(zone), o->set_what(order.what), o->set_who(order.who), o->set_why(order.why);
+    o->set_zone(zone);
+    o->set_what(order.what);
+    o->set_who(order.who);
+    o->set_why(order.why);
+  }
+  for (const auto& [id, number] : seen_) {
+    s.add_seen(id);
+    s.add_seen_number(number);
   }
-  for (const auto& [id, number] : seen_) s.add_seen(id), s.add_seen_number(number);
   if (board_) s.set_board(board_->snapshot());
   return s.SerializeAsString();
 }
@@ -228,9 +251,9 @@
   Versions read(board_);
   read.versions_.clear();
   for (const auto& v : s.version()) {
-    auto got = take(v);
-    if (!got) return false;
-    read.versions_[got->number] = std::move(*got);
+    auto version = take(v);
+    if (!version) return false;
+    read.versions_[version->number] = std::move(*version);
   }
   read.in_force_ = s.in_force();
   auto ground = take(s.ground());
@@ -238,9 +261,10 @@
   read.ground_ = std::move(*ground);
   if (s.has_ground_next() && !(read.ground_next_ = take(s.ground_next()))) return false;
   read.roster_ = {s.roster().begin(), s.roster().end()};
-  read.zones_from_ = s.zones_from(), read.works_from_ = s.works_from();
+  read.zones_from_ = s.zones_from();
+  read.works_from_ = s.works_from();
   read.ground_works_from_ = s.ground_works_from();
-  // One of a program that did not tell them apart: whatever is newest counts.
+  // Older releases didn't record these fields: the newest version and the baseline stand in for them.
   read.settings_from_ = s.has_settings_from() ? s.settings_from() : read.newest();
   read.ground_settings_from_ = s.has_ground_settings_from() ? s.ground_settings_from() : read.ground_.number;
   for (const auto& o : s.order()) read.orders_[o.zone()] = {o.what(), o.who(), o.why()};
--- a/src/shared_config/version_history.h
+++ b/src/shared_config/version_history.h
@@ -1,11 +1,13 @@
-// The book of versions: what the log's entries lead to. The same entries in the same order give the same book
-// at every broker; nothing here knows of time, leases or peers.
+// The replicated state machine of the configuration log: a history of versions of the rules.
 //
-// A version is whole and immutable. Versions are numbered from 1 on; the newest of them may wait for force
-// while an older one has it. The common ground is what a broker without a lease acts on; it lies within every
-// version from the one in force on, so that such a broker contradicts nobody. It changes in two steps: while
-// a next ground waits, brokers take the meet of both; once all that are enlisted do, the next one alone
-// counts.
+// The same entries in the same order produce the same state at every broker, so nothing here depends on time,
+// leases or peers.
+//
+// A version is complete and immutable. Versions are numbered from 1; one of them is in force, and newer ones
+// may wait to take effect. The baseline is the rule set that a broker acts on while it holds no lease. It
+// lies within the version in force and within every later one, so a broker without a lease contradicts no
+// other. The baseline changes in two steps: while a next baseline is pending, brokers act on the meet of
+// both; once every enrolled broker does so, the next one replaces the old one.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -20,75 +22,92 @@
 
 namespace cairnhub::shared_config {
 
+// One version of the rules, or a baseline; immutable.
 struct Version {
   std::uint64_t number = 0;
-  std::string text, hash, who, why, id;
-  std::string note;  // beside the rules, for those who make zone shares: what they act on
+  std::string text;  // canonical text of `rules`
+  std::string hash;  // of `text`
+  std::string who;
+  std::string why;
+  std::string id;    // of the proposal
+  std::string note;  // the data that the zone shares were computed from
   std::shared_ptr<const Rules> rules;
 };
 
+// An entry of the replicated log.
 struct Entry {
-  // propose, propose_ground: `base` is the newest its proposer has seen; one that has brought other settings
-  // since makes it refused. propose_zones: the newest version's rules with the zone shares of these, and a
-  // note; `base` is the version that brought the shares before. order: of an operator, of the zone `name`;
-  // one with no text ends the last. propose_works, ground_works: the same for nodes at work, of the newest
-  // version and of the ground. board: for the board that stands beside the versions.
   enum class Kind {
-    propose = 1,
-    propose_ground,
-    force,
-    force_ground,
-    enlist,
-    strike,
-    propose_zones,
-    order,
-    propose_works,
-    ground_works,
-    board
+    propose = 1,     // a new version; rejected if another proposal changed the settings since `base`
+    propose_ground,  // a new baseline; rejected if another proposal changed its settings since `base`
+    force,           // the version `number` takes effect
+    force_ground,    // the next baseline, `number`, takes effect
+    enlist,          // enrolls the broker `name`
+    strike,          // removes the broker `name`
+    propose_zones,   // the newest version with other zone shares and a note; `base` made the current shares
+    order,           // sets an operator's order on the zone `name`; an empty text clears it
+    propose_works,   // the newest version with other endpoints in maintenance; `base` made the current ones
+    ground_works,    // the baseline with other endpoints in maintenance; `base` made the current ones
+    board            // for the additional state machine
   };
   Kind kind = Kind::propose;
-  std::string id, text, who, why, name, note;
-  std::uint64_t base = 0, number = 0;
+  std::string id;    // of the proposal; an entry with a known id is applied once only
+  std::string text;  // rules, a zone order or an entry of the additional state machine, by kind
+  std::string who;
+  std::string why;
+  std::string name;  // of a broker or a zone, by kind
+  std::string note;
+  std::uint64_t base = 0;
+  std::uint64_t number = 0;
 };
 std::string encode(const Entry& entry);
+// Returns nothing if the bytes are malformed or a field exceeds its limit.
 std::optional<Entry> decode_entry(std::string_view bytes);
 
+// The result of applying an entry.
 struct Verdict {
-  std::uint64_t number = 0;  // what the proposal became; 0: refused
-  std::string refused;       // why
+  std::uint64_t number = 0;  // the version or baseline that a proposal became; 0: rejected
+  std::string refused;       // the reason of the rejection
 };
 
-// What else the log carries, kept by another package: the same entries lead to the same board at every voter.
-// Never changed once made.
+// An additional state machine that the log drives beside the versions, implemented by another package. The
+// same entries produce the same state at every voter. An instance is immutable.
 class Board {
  public:
   virtual ~Board() = default;
-  // `next`: the board after it, where it is not refused.
+  // Sets `next` to the state after the entry, unless the entry is rejected.
   virtual Verdict apply(const Entry& entry, std::shared_ptr<const Board>& next) const = 0;
   virtual std::string snapshot() const = 0;
-  virtual std::shared_ptr<const Board> restore(std::string_view bytes) const = 0;  // null: can't be used
+  // Returns null if the bytes are malformed.
+  virtual std::shared_ptr<const Board> restore(std::string_view bytes) const = 0;
 };
 
-// What an operator has ordered of a zone, until it is ended.
+// An operator's order on a zone; it holds until the operator clears it.
 struct Order {
-  std::string what, who, why;
+  std::string what;  // "evacuate" or "hold"
+  std::string who;
+  std::string why;
 };
 
 class Versions {
  public:
+  // `board`: the initial state of the additional state machine, if the log drives one.
   explicit Versions(std::shared_ptr<const Board> board = nullptr);
 
+  // Applies one entry of the log.
   Verdict apply(const Entry& entry);
 
   std::uint64_t newest() const { return versions_.rbegin()->first; }
   std::uint64_t in_force() const { return in_force_; }
   const std::map<std::uint64_t, Version>& all() const { return versions_; }
+  // Returns null if the version is unknown or has been dropped.
   const Version* at(std::uint64_t number) const;
   const Version& ground() const { return ground_; }
   const std::optional<Version>& ground_next() const { return ground_next_; }
+  // The brokers that must take up a baseline before it takes effect.
   const std::set<std::string>& roster() const { return roster_; }
   const std::map<std::string, Order>& orders() const { return orders_; }  // by zone
-  // The version that brought the shares, the nodes at work, the ground that brought those; 0: none yet.
+  // The last version that changed the zone shares, the last that changed the endpoints in maintenance, and
+  // the last baseline that changed those; 0: none.
   std::uint64_t zones_from() const { return zones_from_; }
   std::uint64_t works_from() const { return works_from_; }
   std::uint64_t ground_works_from() const { return ground_works_from_; }
@@ -96,10 +115,11 @@
   const std::shared_ptr<const Board>& board() const { return board_; }
 
   std::string snapshot() const;
-  bool restore(std::string_view bytes);  // false, and nothing taken, where it can't be used
+  // Replaces the state; returns false and changes nothing if the bytes are malformed.
+  bool restore(std::string_view bytes);
 
-  static constexpr std::size_t kKept = 128;     // versions below the one in force
-  static constexpr std::size_t kWaiting = 512;  // versions above it
+  static constexpr std::size_t kKept = 128;     // versions older than the one in force
+  static constexpr std::size_t kWaiting = 512;  // versions newer than the one in force
   static constexpr std::size_t kSeen = 1024;    // ids of proposals
   static constexpr std::size_t kRoster = 4096;
   static constexpr std::size_t kOrders = 64;
@@ -107,20 +127,23 @@
  private:
   Verdict propose(const Entry& e);
   Verdict propose_ground(const Entry& e);
-  Verdict order(const Entry& e);
-  Verdict on_board(const Entry& e);
-  void forget_old();
+  Verdict set_zone_order(const Entry& e);
+  Verdict apply_to_board(const Entry& e);
+  void drop_old_versions();
 
-  std::map<std::uint64_t, Version> versions_;  // never empty: version 1 takes nothing away
+  std::map<std::uint64_t, Version> versions_;  // never empty: version 1 restricts nothing
   std::uint64_t in_force_ = 1;
   Version ground_;
   std::optional<Version> ground_next_;
   std::set<std::string> roster_;
   std::map<std::string, Order> orders_;
   std::shared_ptr<const Board> board_;
-  std::uint64_t zones_from_ = 0, works_from_ = 0, ground_works_from_ = 0;
-  std::uint64_t settings_from_ = 1, ground_settings_from_ = 1;  // that an operator brought
-  std::deque<std::pair<std::string, std::uint64_t>> seen_;
+  std::uint64_t zones_from_ = 0;
+  std::uint64_t works_from_ = 0;
+  std::uint64_t ground_works_from_ = 0;
+  std::uint64_t settings_from_ = 1;                         // the last version that an operator proposed
+  std::uint64_t ground_settings_from_ = 1;                  // the last baseline that an operator proposed
+  std::deque<std::pair<std::string, std::uint64_t>> seen_;  // id and result of recent proposals, oldest first
 };
 
 }  // namespace cairnhub::shared_config
--- a/tests/grounds.cpp
+++ b/tests/grounds.cpp
@@ -1,10 +1,10 @@
-// Every order of events of a small model of the common ground: one broker or two that renew leases and start
-// anew from their folders, one leader, an operator who narrows the ground and a version and widens both
-// again. Messages come late, in any order, or never. The classes of the program themselves are driven. In
-// every state what a broker would act on without a lease must lie within every version from the one in force
-// on, and no lease end below that one.
+// Model checking of the baseline: explores every event order of a small model with one or two brokers that
+// renew leases and restart from their folders, one leader, and an operator who narrows the baseline and a
+// version and then widens both. Messages may be late, reordered or lost. The model runs the production
+// classes. In every state the rules that a broker would act on without a lease must lie within the version in
+// force and every later one, and no lease may end below the version in force.
 //
-// `grounds break N` takes defence N out and must find a state where it doesn't.
+// `grounds break N` disables safeguard N and must find a state that violates this.
 #include <cstdio>
 #include <cstdlib>
 #include <map>
@@ -19,47 +19,52 @@
 
 namespace {
 
-constexpr std::size_t kBrokersMost = 2;
-constexpr std::size_t kOnTheirWay = 2;  // messages; each may be lost
+constexpr std::size_t kMaxBrokers = 2;
+constexpr std::size_t kMaxMessagesInFlight = 2;
 std::size_t brokers = 1;
-int askings = 3, restarts = 1;
+int max_requests = 3;  // per broker
+int max_restarts = 1;  // per broker
 Time end_at = 4;
-int broken = 0;
+int disabled_safeguard = 0;  // 0: none
 
 LeaseTerms terms() {
   LeaseTerms t;
-  t.stated = 4, t.drift = 0;  // a span of 2 steps
+  t.stated = 4;  // leases of 2 steps
+  t.drift = 0;
   return t;
 }
 
-const std::string kNames[kBrokersMost] = {"x", "y"};
+const std::string kNames[kMaxBrokers] = {"x", "y"};
 const std::set<std::string> kVoters{"v1"};
 
-// What the operator does, in this order or leaving some out; the book refuses what would not do.
-struct Wish {
-  bool ground;
+// A proposal of the operator. The proposals are made in the order of the list, and some may be left out; the
+// history rejects those that are not allowed.
+struct OperatorProposal {
+  bool is_baseline;
   const char* rules;
 };
-const Wish kWishes[] = {{true, "op_type { name: \"a\" held_most: 5 }"},
-                        {false, "op_type { name: \"a\" held_most: 7 }"},
-                        {false, ""},
-                        {true, "op_type { name: \"a\" held_most: 9 }"}};
-int wishes_most = 4;
+const OperatorProposal kProposals[] = {{true, "op_type { name: \"a\" held_most: 5 }"},
+                                       {false, "op_type { name: \"a\" held_most: 7 }"},
+                                       {false, ""},
+                                       {true, "op_type { name: \"a\" held_most: 9 }"}};
+int max_proposals = 4;
 
-// Books by number, so that states are told apart by it: the same entries lead to the same book.
-std::vector<Versions> books;
-int book_after(int book, const Entry& e, const std::string& name) {
+// All histories that occur. States refer to them by index, so equal histories must have equal indices.
+std::vector<Versions> histories;
+// Returns the index of the history after an entry. `name` identifies the entry.
+int history_after(int history, const Entry& e, const std::string& name) {
   static std::map<std::pair<int, std::string>, int> known;
   static std::map<std::string, int> by_content;
-  const auto [it, fresh] = known.try_emplace({book, name}, 0);
+  const auto [it, fresh] = known.try_emplace({history, name}, 0);
   if (!fresh) return it->second;
-  Versions next = books[static_cast<std::size_t>(book)];
+  Versions next = histories[static_cast<std::size_t>(history)];
   next.apply(e);
-  const auto [at, new_one] = by_content.try_emplace(next.snapshot(), static_cast<int>(books.size()));
-  if (new_one) books.push_back(std::move(next));
+  const auto [at, is_new] = by_content.try_emplace(next.snapshot(), static_cast<int>(histories.size()));
+  if (is_new) histories.push_back(std::move(next));
   return it->second = at->second;
 }
 
+// The baseline that a broker has stored.
 struct Folder {
   std::uint64_t number = 0;
   std::string text;
@@ -67,23 +72,27 @@
 
 struct State {
   Time now = 1;
-  int book = 0, wishes = 0;
-  std::vector<Holder> holders{brokers, Holder(terms(), Rules{})};
+  int history = 0;
+  int proposals_done = 0;
+  std::vector<Holder> clients{brokers, Holder(terms(), Rules{})};
   std::vector<Folder> folders{brokers};
-  int asked[kBrokersMost] = {0, 0}, started[kBrokersMost] = {0, 0};
+  int requests_made[kMaxBrokers] = {0, 0};
+  int restarts_made[kMaxBrokers] = {0, 0};
   Leases leader{terms()};
-  std::uint64_t force = 0, force_ground = 0;  // decided by the leader, not yet committed
+  std::uint64_t force = 0;         // proposed by the leader to take effect, not yet committed
+  std::uint64_t force_ground = 0;  // the same for a baseline
   std::vector<std::pair<int, Ask>> asks;
   std::vector<std::pair<int, Grant>> grants;
 
-  const Versions& versions() const { return books[static_cast<std::size_t>(book)]; }
+  const Versions& versions() const { return histories[static_cast<std::size_t>(history)]; }
   std::string key() const {
-    std::string k = std::to_string(now) + ' ' + std::to_string(book) + ' ' + std::to_string(wishes) + ' ' +
-                    std::to_string(force) + ' ' + std::to_string(force_ground) + ' ';
+    std::string k = std::to_string(now) + ' ' + std::to_string(history) + ' ' +
+                    std::to_string(proposals_done) + ' ' + std::to_string(force) + ' ' +
+                    std::to_string(force_ground) + ' ';
     for (std::size_t i = 0; i < brokers; ++i) {
-      k += std::to_string(asked[i]) + std::to_string(started[i]) + std::to_string(folders[i].number) + ' ' +
-           folders[i].text + ' ' + text_of(holders[i].grounded());
-      holders[i].describe(now, k);
+      k += std::to_string(requests_made[i]) + std::to_string(restarts_made[i]) +
+           std::to_string(folders[i].number) + ' ' + folders[i].text + ' ' + text_of(clients[i].grounded());
+      clients[i].describe(now, k);
     }
     leader.describe(now, k);
     for (const auto& [i, a] : asks)
@@ -98,21 +107,21 @@
   }
   bool good() const {
     const Versions& v = versions();
-    for (const Holder& h : holders)
+    for (const Holder& h : clients)
       for (auto it = v.all().lower_bound(v.in_force()); it != v.all().end(); ++it)
         if (!within(h.grounded(), *it->second.rules)) return false;
-    // And no lease ends below the version in force, though an answer to an earlier life came for one's own.
-    for (const Holder& h : holders)
+    // No lease ends below the version in force, even if a grant to an earlier process of the broker arrived.
+    for (const Holder& h : clients)
       if (h.until() > now && h.acting(now)->high < v.in_force()) return false;
     return true;
   }
 };
 
-// As Fleet::keep_ground does, before anything is said to others.
-void keep(State& s, std::size_t i) {
-  const Holder& h = s.holders[i];
-  if (broken == 2 && h.ground_next()) return;  // only what is settled
-  s.folders[i] = {h.ground().number, text_of(broken == 2 ? *h.ground().rules : h.grounded())};
+// Stores the baseline, as a broker does before it sends anything.
+void store_baseline(State& s, std::size_t i) {
+  const Holder& h = s.clients[i];
+  if (disabled_safeguard == 2 && h.ground_next()) return;  // stores settled baselines only
+  s.folders[i] = {h.ground().number, text_of(disabled_safeguard == 2 ? *h.ground().rules : h.grounded())};
 }
 
 std::vector<State> after(const State& s) {
@@ -120,20 +129,22 @@
   const auto next = [&]() -> State& { return all.emplace_back(s); };
   if (s.now < end_at) ++next().now;
   for (std::size_t i = 0; i < brokers; ++i) {
-    if (s.asked[i] < askings && s.asks.size() + s.grants.size() < kOnTheirWay) {
+    if (s.requests_made[i] < max_requests && s.asks.size() + s.grants.size() < kMaxMessagesInFlight) {
       State& n = next();
-      ++n.asked[i];
-      n.asks.emplace_back(static_cast<int>(i), n.holders[i].ask(n.now));
+      ++n.requests_made[i];
+      n.asks.emplace_back(static_cast<int>(i), n.clients[i].ask(n.now));
     }
-    if (s.started[i] < restarts) {
+    if (s.restarts_made[i] < max_restarts) {
       State& n = next();
-      ++n.started[i];
-      n.holders[i] = Holder(terms(), Rules{}, broken == 3 ? 0 : static_cast<std::uint32_t>(n.started[i]));
+      ++n.restarts_made[i];
+      n.clients[i] = Holder(terms(), Rules{},
+                            disabled_safeguard == 3 ? 0 : static_cast<std::uint32_t>(n.restarts_made[i]));
       Version kept;
-      kept.number = n.folders[i].number, kept.text = n.folders[i].text;
+      kept.number = n.folders[i].number;
+      kept.text = n.folders[i].text;
       kept.rules = std::make_shared<const Rules>(parse_rules(kept.text, "folder"));
-      if (kept.number) n.holders[i].keep(kept);
-      // What it had sent may still come, and be answered, and so may what was on its way to its earlier life.
+      if (kept.number) n.clients[i].keep(kept);
+      // Messages from and to the earlier process may still arrive.
     }
   }
   for (std::size_t m = 0; m < s.asks.size(); ++m) {
@@ -143,7 +154,7 @@
     const auto [i, ask] = n.asks[m];
     n.asks.erase(n.asks.begin() + static_cast<std::ptrdiff_t>(m));
     n.leader.asked(n.now, kNames[i], ask);
-    // The leader is the only voter here, and confirms itself at once.
+    // The leader is the only voter of the model and confirms itself at once.
     if (const auto r = n.leader.round(n.now)) n.leader.confirmed(n.now, "v1", 1, *r, n.versions());
     for (auto& g : n.leader.granted()) n.grants.emplace_back(g.to == "x" ? 0 : 1, std::move(g.grant));
   }
@@ -153,36 +164,41 @@
     State& n = next();
     const auto [i, grant] = n.grants[m];
     n.grants.erase(n.grants.begin() + static_cast<std::ptrdiff_t>(m));
-    n.holders[static_cast<std::size_t>(i)].answered(n.now, grant);
-    keep(n, static_cast<std::size_t>(i));
+    n.clients[static_cast<std::size_t>(i)].answered(n.now, grant);
+    store_baseline(n, static_cast<std::size_t>(i));
   }
-  for (int w = s.wishes; w < wishes_most; ++w) {
+  for (int w = s.proposals_done; w < max_proposals; ++w) {
     Entry e;
-    e.kind = kWishes[w].ground ? Entry::Kind::propose_ground : Entry::Kind::propose;
-    e.text = kWishes[w].rules, e.id = "wish " + std::to_string(w);
-    e.base = kWishes[w].ground ? s.versions().ground().number : s.versions().newest();
-    const int book = book_after(s.book, e, e.id);
-    if (book == s.book) continue;
+    e.kind = kProposals[w].is_baseline ? Entry::Kind::propose_ground : Entry::Kind::propose;
+    e.text = kProposals[w].rules;
+    e.id = "wish " + std::to_string(w);
+    e.base = kProposals[w].is_baseline ? s.versions().ground().number : s.versions().newest();
+    const int history = history_after(s.history, e, e.id);
+    if (history == s.history) continue;
     State& n = next();
-    n.book = book, n.wishes = w + 1;
+    n.history = history;
+    n.proposals_done = w + 1;
   }
-  const auto decided = [&](Entry::Kind kind, std::uint64_t number) {
+  const auto after_commit = [&](Entry::Kind kind, std::uint64_t number) {
     Entry e;
-    e.kind = kind, e.number = number;
-    return book_after(s.book, e, std::to_string(static_cast<int>(kind)) + ' ' + std::to_string(number));
+    e.kind = kind;
+    e.number = number;
+    return history_after(s.history, e, std::to_string(static_cast<int>(kind)) + ' ' + std::to_string(number));
   };
   if (!s.force)
     if (const auto f = s.leader.may_force(s.now, s.versions())) next().force = f;
   if (s.force) {
     State& n = next();
-    n.book = decided(Entry::Kind::force, s.force), n.force = 0;
+    n.history = after_commit(Entry::Kind::force, s.force);
+    n.force = 0;
   }
   if (!s.force_ground && s.versions().ground_next() &&
-      (broken == 1 || s.leader.may_force_ground(s.versions())))
+      (disabled_safeguard == 1 || s.leader.may_force_ground(s.versions())))
     next().force_ground = s.versions().ground_next()->number;
   if (s.force_ground) {
     State& n = next();
-    n.book = decided(Entry::Kind::force_ground, s.force_ground), n.force_ground = 0;
+    n.history = after_commit(Entry::Kind::force_ground, s.force_ground);
+    n.force_ground = 0;
   }
   return all;
 }
@@ -191,27 +207,36 @@
 
 int main(int argc, char** argv) {
   if (argc > 2 && std::string(argv[1]) == "break") {
-    broken = std::atoi(argv[2]);
-    if (broken == 3) askings = 4, end_at = 5, wishes_most = 2;  // a longer way there
+    disabled_safeguard = std::atoi(argv[2]);
+    if (disabled_safeguard == 3) {  // this violation takes more events
+      max_requests = 4;
+      end_at = 5;
+      max_proposals = 2;
+    }
   } else if (argc > 4) {
     brokers = static_cast<std::size_t>(std::atoi(argv[1]));
-    askings = std::atoi(argv[2]), restarts = std::atoi(argv[3]), end_at = std::atoll(argv[4]);
-    if (argc > 5) wishes_most = std::atoi(argv[5]);
+    max_requests = std::atoi(argv[2]);
+    max_restarts = std::atoi(argv[3]);
+    end_at = std::atoll(argv[4]);
+    if (argc > 5) max_proposals = std::atoi(argv[5]);
   }
-  books.emplace_back();
+  histories.emplace_back();
   State first;
   for (std::size_t i = 0; i < brokers; ++i) {
     Entry e;
-    e.kind = Entry::Kind::enlist, e.name = kNames[i];
-    first.book = book_after(first.book, e, "enlist " + kNames[i]);
+    e.kind = Entry::Kind::enlist;
+    e.name = kNames[i];
+    first.history = history_after(first.history, e, "enlist " + kNames[i]);
   }
   first.leader.leads(first.now - terms().span(), 1, kVoters, "v1");
-  bool narrow = false, wide = false;  // the model comes where it should
+  // Shows that the model reaches the states of interest.
+  bool narrow = false;
+  bool wide = false;
   const Explored all = explore(first, true, after, [&](const State& s) {
     narrow = narrow || s.versions().at(s.versions().in_force())->rules->of("a").held_most == 7;
     wide = wide || s.versions().ground().rules->of("a").held_most == 9;
   });
-  if (broken) {
+  if (disabled_safeguard) {
     std::printf("with a defence out: %s\n",
                 all.broken.empty() ? "NOTHING found" : "a ground allows what a version in force forbids");
     return all.broken.empty() ? 1 : 0;
--- a/tests/leases.cpp
+++ b/tests/leases.cpp
@@ -1,9 +1,9 @@
-// Every order of events of a small model of leases: two holders, a leader and the one after it, a few
-// versions, a few askings each, a clock of whole steps; messages come late, in any order, or never. The
-// classes of the program themselves are driven. In every state the intervals that the holders act on must
-// meet.
+// Model checking of leases: explores every event order of a small model with two clients, a leader, its
+// successor, a few versions, a few requests per client and a clock of whole steps. Messages may be late,
+// reordered or lost. The model runs the production classes. In every state the version intervals that the
+// clients act on must overlap; otherwise one client could do what the version of the other forbids.
 //
-// `leases break N` takes defence N out and must find a state where they don't.
+// `leases break N` disables safeguard N and must find a state that violates this.
 #include "shared_config/leases.h"
 
 #include <cstdio>
@@ -20,150 +20,165 @@
 
 namespace {
 
-constexpr int kHolders = 2;
-int askings[kHolders] = {2, 1};
-std::uint64_t newest = 2;  // version
+constexpr int kClients = 2;
+int max_requests[kClients] = {2, 1};
+std::uint64_t max_version = 2;
 Time end_at = 5;
-int broken = 0;
+int disabled_safeguard = 0;  // 0: none
 
 LeaseTerms terms() {
   LeaseTerms t;
-  t.stated = 4, t.drift = 0;  // a span of 2 steps
+  t.stated = 4;  // leases of 2 steps
+  t.drift = 0;
   return t;
 }
 
-// A book of versions with `newest` made and `in_force` forced, by its two numbers: made once for all states.
-struct Book {
+// A version history, identified by its newest version and the one in force. The states share the
+// histories.
+struct History {
   std::uint64_t newest_ = 1, in_force_ = 1;
   std::uint64_t newest() const { return newest_; }
   std::uint64_t in_force() const { return in_force_; }
-  const Versions& whole() const {
+  const Versions& versions() const {
     static std::map<std::pair<std::uint64_t, std::uint64_t>, Versions> all;
     const auto [it, fresh] = all.try_emplace({newest_, in_force_});
     if (fresh) {
       Entry e;
       for (e.base = 1; e.base < newest_; ++e.base) it->second.apply(e);
-      e.kind = Entry::Kind::force, e.number = in_force_;
+      e.kind = Entry::Kind::force;
+      e.number = in_force_;
       it->second.apply(e);
     }
     return it->second;
   }
 };
 
-struct Ask_ {
-  int holder, leader;
+struct SentRequest {
+  int client;
+  int leader;
   Ask ask;
 };
-struct Grant_ {
-  int holder;
+struct SentGrant {
+  int client;
   Grant grant;
 };
 
 struct State {
   Time now = 1;
-  Book book;  // what is committed; whoever leads has applied it
-  std::vector<Holder> holders{kHolders, Holder(terms(), Rules{})};
+  History history;  // committed, and applied by the current leader
+  std::vector<Holder> clients{kClients, Holder(terms(), Rules{})};
   std::vector<Leases> leaders{2, Leases(terms())};
   int leader = 0;
-  bool replied[2] = {false, false};  // a majority's confirmation is on its way to that leader
-  std::uint64_t round[2] = {0, 0}, forcing = 0;
-  Book old_book;  // as the first leader knew it when it was deposed
-  int asked[kHolders] = {0, 0};
-  std::vector<Ask_> asks;
-  std::vector<Grant_> grants;
+  bool confirmed[2] = {false, false};  // a majority's confirmation is on its way to that leader
+  std::uint64_t round[2] = {0, 0};     // awaiting confirmation, by leader; 0: none
+  std::uint64_t forcing = 0;           // proposed to take effect, not committed; 0: none
+  History old_history;                 // as of the first leader's deposition
+  int requests_made[kClients] = {0, 0};
+  std::vector<SentRequest> asks;
+  std::vector<SentGrant> grants;
 
   std::string key() const {
-    std::string k = std::to_string(now) + ' ' + std::to_string(book.newest()) + ' ' +
-                    std::to_string(book.in_force()) + ' ' + std::to_string(old_book.newest()) + ' ' +
-                    std::to_string(old_book.in_force()) + ' ' + std::to_string(leader) +
-                    std::to_string(replied[0]) + std::to_string(replied[1]) + ' ' + std::to_string(round[0]) +
-                    ' ' + std::to_string(round[1]) + ' ' + std::to_string(forcing) + ' ';
-    for (int i = 0; i < kHolders; ++i)
-      k += std::to_string(asked[i]), holders[static_cast<std::size_t>(i)].describe(now, k);
+    std::string k = std::to_string(now) + ' ' + std::to_string(history.newest()) + ' ' +
+                    std::to_string(history.in_force()) + ' ' + std::to_string(old_history.newest()) + ' ' +
+                    std::to_string(old_history.in_force()) + ' ' + std::to_string(leader) +
+                    std::to_string(confirmed[0]) + std::to_string(confirmed[1]) + ' ' +
+                    std::to_string(round[0]) + ' ' + std::to_string(round[1]) + ' ' +
+                    std::to_string(forcing) + ' ';
+    for (int i = 0; i < kClients; ++i) {
+      k += std::to_string(requests_made[i]);
+      clients[static_cast<std::size_t>(i)].describe(now, k);
+    }
     for (const Leases& l : leaders) l.describe(now, k);
-    for (const Ask_& a : asks)
-      k += 'a' + std::to_string(a.holder) + std::to_string(a.leader) + ' ' + std::to_string(a.ask.sequence);
-    for (const Grant_& g : grants)
-      k += 'g' + std::to_string(g.holder) + ' ' + std::to_string(g.grant.sequence) + ' ' +
+    for (const SentRequest& a : asks)
+      k += 'a' + std::to_string(a.client) + std::to_string(a.leader) + ' ' + std::to_string(a.ask.sequence);
+    for (const SentGrant& g : grants)
+      k += 'g' + std::to_string(g.client) + ' ' + std::to_string(g.grant.sequence) + ' ' +
            std::to_string(g.grant.low) + ' ' + std::to_string(g.grant.high);
     return k;
   }
   bool good() const {
     std::uint64_t low = 0, high = UINT64_MAX;
-    for (const Holder& h : holders) {
-      const auto& a = h.acting(now);
+    for (const Holder& client : clients) {
+      const auto& a = client.acting(now);
       if (!a->low) continue;
-      low = std::max(low, a->low), high = std::min(high, a->high);
+      low = std::max(low, a->low);
+      high = std::min(high, a->high);
     }
     return low <= high;
   }
 };
 
-const std::string kNames[kHolders] = {"x", "y"};
+const std::string kNames[kClients] = {"x", "y"};
 const std::set<std::string> kVoters{"v1", "v2", "v3"};
 
-const Versions& book_of(const State& s, int leader) {
-  return (leader == s.leader ? s.book : s.old_book).whole();
+const Versions& versions_of(const State& s, int leader) {
+  return (leader == s.leader ? s.history : s.old_history).versions();
 }
 
-// All states that one event leads to.
+// Returns all states that one event leads to.
 std::vector<State> after(const State& s) {
   std::vector<State> all;
   const auto next = [&]() -> State& { return all.emplace_back(s); };
   if (s.now < end_at) ++next().now;
-  for (int i = 0; i < kHolders; ++i) {
-    if (s.asked[i] >= askings[i]) continue;
+  for (int i = 0; i < kClients; ++i) {
+    if (s.requests_made[i] >= max_requests[i]) continue;
     State& n = next();
-    ++n.asked[i];
-    n.asks.push_back({i, n.leader, n.holders[static_cast<std::size_t>(i)].ask(n.now)});
+    ++n.requests_made[i];
+    n.asks.push_back({i, n.leader, n.clients[static_cast<std::size_t>(i)].ask(n.now)});
   }
-  for (std::size_t m = 0; m < s.asks.size(); ++m) {  // it comes; or never: then it stays on its way
+  for (std::size_t m = 0; m < s.asks.size(); ++m) {  // a message that stays in the list is a lost one
     State& n = next();
-    const Ask_ a = n.asks[m];
+    const SentRequest a = n.asks[m];
     n.asks.erase(n.asks.begin() + static_cast<std::ptrdiff_t>(m));
     Leases& l = n.leaders[static_cast<std::size_t>(a.leader)];
     Ask ask = a.ask;
-    if (broken == 1) ask.taken = ask.sequence;  // as if every grant were taken up
-    l.asked(n.now, kNames[a.holder], ask);
-    if (const auto r = l.round(n.now)) n.round[a.leader] = *r, n.replied[a.leader] = false;
+    if (disabled_safeguard == 1) ask.taken = ask.sequence;  // as if the client had taken up every grant
+    l.asked(n.now, kNames[a.client], ask);
+    if (const auto r = l.round(n.now)) {
+      n.round[a.leader] = *r;
+      n.confirmed[a.leader] = false;
+    }
   }
-  // A majority confirms the leader of its term; the word may come to it much later.
-  if (s.round[s.leader] && !s.replied[s.leader]) next().replied[s.leader] = true;
+  // A majority confirms the leader of its term; the confirmation may arrive much later.
+  if (s.round[s.leader] && !s.confirmed[s.leader]) next().confirmed[s.leader] = true;
   for (int l = 0; l < 2; ++l) {
-    if (!s.replied[l]) continue;
+    if (!s.confirmed[l]) continue;
     State& n = next();
     Leases& leases = n.leaders[static_cast<std::size_t>(l)];
     for (const char* v : {"v1", "v2"})
-      leases.confirmed(n.now, v, static_cast<std::uint64_t>(l) + 1, n.round[l], book_of(s, l));
-    n.replied[l] = false, n.round[l] = 0;
+      leases.confirmed(n.now, v, static_cast<std::uint64_t>(l) + 1, n.round[l], versions_of(s, l));
+    n.confirmed[l] = false;
+    n.round[l] = 0;
     for (auto& g : leases.granted()) n.grants.push_back({g.to == "x" ? 0 : 1, std::move(g.grant)});
   }
   for (std::size_t m = 0; m < s.grants.size(); ++m) {
     State& n = next();
-    const Grant_ g = n.grants[m];
+    const SentGrant g = n.grants[m];
     n.grants.erase(n.grants.begin() + static_cast<std::ptrdiff_t>(m));
-    Holder& h = n.holders[static_cast<std::size_t>(g.holder)];
+    Holder& h = n.clients[static_cast<std::size_t>(g.client)];
     h.answered(n.now, g.grant);
   }
-  if (s.book.newest() < newest) {
-    ++next().book.newest_;
+  if (s.history.newest() < max_version) {
+    ++next().history.newest_;
   }
-  // The leader may begin to force; the entry is committed then or later, by whoever leads.
+  // The leader may propose that a version takes effect; the entry is committed at any later step, possibly by
+  // the next leader.
   if (!s.forcing)
-    if (const auto f = broken == 2 && s.book.newest() > s.book.in_force()
-                           ? s.book.newest()
-                           : s.leaders[static_cast<std::size_t>(s.leader)].may_force(s.now, s.book.whole()))
+    if (const auto f =
+            disabled_safeguard == 2 && s.history.newest() > s.history.in_force()
+                ? s.history.newest()
+                : s.leaders[static_cast<std::size_t>(s.leader)].may_force(s.now, s.history.versions()))
       next().forcing = f;
   if (s.forcing) {
     State& n = next();
-    n.book.in_force_ = std::max(n.book.in_force_, n.forcing);
+    n.history.in_force_ = std::max(n.history.in_force_, n.forcing);
     n.forcing = 0;
   }
   if (s.leader == 0) {
     State& n = next();
-    n.old_book = n.book;
+    n.old_history = n.history;
     n.leader = 1;
-    n.leaders[1].leads(broken == 3 ? n.now - terms().span() : n.now, 2, kVoters, "v3");
+    n.leaders[1].leads(disabled_safeguard == 3 ? n.now - terms().span() : n.now, 2, kVoters, "v3");
   }
   return all;
 }
@@ -172,31 +187,32 @@
 
 int main(int argc, char** argv) {
   if (argc > 2 && std::string(argv[1]) == "break") {
-    broken = std::atoi(argv[2]);
+    disabled_safeguard = std::atoi(argv[2]);
   } else if (argc > 4) {
-    askings[0] = std::atoi(argv[1]), askings[1] = std::atoi(argv[2]),
-    newest = static_cast<std::uint64_t>(std::atoll(argv[3]));
+    max_requests[0] = std::atoi(argv[1]);
+    max_requests[1] = std::atoi(argv[2]);
+    max_version = static_cast<std::uint64_t>(std::atoll(argv[3]));
     end_at = std::atoll(argv[4]);
   }
   State first;
   first.leaders[0].leads(first.now - terms().span(), 1, kVoters, "v1");
-  // Content is immutable, and to hold it early hurts nobody: all of it is in hand.
-  for (Holder& h : first.holders) {
+  // Versions are immutable and harmless to hold early, so the clients start with all of them.
+  for (Holder& h : first.clients) {
     Grant g;
     g.sequence = h.ask(first.now).sequence;
-    const Versions book = Book{newest, 1}.whole();
-    for (std::uint64_t n = 1; n <= newest; ++n) g.versions.push_back(*book.at(n));
+    const Versions history = History{max_version, 1}.versions();
+    for (std::uint64_t n = 1; n <= max_version; ++n) g.versions.push_back(*history.at(n));
     h.answered(first.now, g);
   }
-  if (broken) {
-    // With a defence out the fault need not be near: ways drawn at random find it.
-    std::mt19937 chance(1);
-    for (int way = 0; way < 400000; ++way) {
+  if (disabled_safeguard) {
+    // A violation may lie many events away from the first state, where random sequences find it sooner.
+    std::mt19937 random(1);
+    for (int run = 0; run < 400000; ++run) {
       State s = first;
       for (int step = 0; step < 40; ++step) {
         auto all = after(s);
         if (all.empty()) break;
-        s = std::move(all[chance() % all.size()]);
+        s = std::move(all[random() % all.size()]);
         if (s.good()) continue;
         std::printf("with a defence out: two holders act on contradicting versions\n");
         return 0;
