--- a/bench/accord.cpp
+++ b/bench/accord.cpp
@@ -16,7 +16,7 @@
       "brokers  all on a new version, ms  with a tenth cut off, ms  messages/s a broker  bytes/s a broker\n");
   for (const int n : {10, 100, 300, 1000}) {
     Seeded world(static_cast<std::uint64_t>(n));
-    shared_config::Terms terms;
+    shared_config::SharedConfigSettings terms;
     Accords f(world, n, 3, terms, 0.01);
     f.start_all();
     if (!world.play(world.now() + 60 * kSecond, [&] { return f.settled(); }))
@@ -26,7 +26,7 @@
     f.propose(n - 1, "op_type { name: \"x\" held_most: 5 }", true, 1, "g",
               [&](const auto&) { ground = true; });
     world.play(world.now() + 10 * kSecond,
-               [&] { return ground && f.all[0].accord->engine()->versions().ground().number == 2; });
+               [&] { return ground && f.all[0].accord->raft_node()->versions().baseline().number == 2; });
     world.play(world.now() + 3 * kSecond);
     const auto sent = world.sent, bytes = world.bytes;
     const Time calm = world.now();
@@ -46,13 +46,14 @@
                 weight, all && forced && f.longest == 0 ? "" : "  NOT as it should be");
     std::fflush(stdout);
   }
-  shared_config::Holder holder({}, {});
+  shared_config::LeaseClient holder({}, {});
   using Clock = std::chrono::steady_clock;
   constexpr int kLooks = 20'000'000;
   std::uint64_t sum = 0;
   const auto began = Clock::now();
   for (int i = 0; i < kLooks; ++i)
-    sum += holder.acting(i)->low + static_cast<std::uint64_t>(holder.acting(i)->rules->sends_most);
+    sum += holder.active_config(i)->low +
+           static_cast<std::uint64_t>(holder.active_config(i)->rules->max_attempts);
   const double ns = std::chrono::duration<double, std::nano>(Clock::now() - began).count() / kLooks;
   std::printf("a look at what may be acted on: %.2f ns%s\n", ns, sum == 0 ? " " : "");
 }
--- a/fuzz/messages.cpp
+++ b/fuzz/messages.cpp
@@ -53,10 +53,10 @@
     }
     case 2:
       if (const auto e = shared_config::decode_entry(text)) {
-        shared_config::Versions book;
+        shared_config::VersionHistory book;
         const auto v = book.apply(*e);
-        must(v.number != 0 || !v.refused.empty());
-        shared_config::Versions copy;
+        must(v.number != 0 || !v.rejection.empty());
+        shared_config::VersionHistory copy;
         must(copy.restore(book.snapshot()) && copy.newest() == book.newest());
       }
       break;
@@ -69,30 +69,31 @@
       break;
     case 8: {
       // An entry on works, on a board that holds one already.
-      shared_config::Entry e;
-      e.kind = shared_config::Entry::Kind::board;
+      shared_config::ConfigEntry e;
+      e.kind = shared_config::ConfigEntry::Kind::kStateMachine;
       e.text = "facts { cells: 3 width: 2 terms { at_once: 1 } node { name: \"n\" ready: true warm: true } }";
-      shared_config::Versions book(std::make_shared<maintenance::Works>());
+      shared_config::VersionHistory book(std::make_shared<maintenance::Works>());
       must(book.apply(e).number != 0);
       e.text = std::string(text);
       const auto v = book.apply(e);
-      must(v.number != 0 || !v.refused.empty());
-      shared_config::Versions copy(std::make_shared<maintenance::Works>());
-      must(copy.restore(book.snapshot()) && copy.board()->snapshot() == book.board()->snapshot());
+      must(v.number != 0 || !v.rejection.empty());
+      shared_config::VersionHistory copy(std::make_shared<maintenance::Works>());
+      must(copy.restore(book.snapshot()) &&
+           copy.state_machine()->snapshot() == book.state_machine()->snapshot());
       maintenance::Works().restore(text);
       break;
     }
     case 3: {
-      shared_config::Versions book;
-      if (book.restore(text)) must(book.at(book.in_force()) != nullptr);
+      shared_config::VersionHistory book;
+      if (book.restore(text)) must(book.find(book.in_force()) != nullptr);
       break;
     }
     case 4:
       try {
-        const auto rules = shared_config::parse_rules(std::string(text), "fuzz");
-        must(shared_config::parse_rules(shared_config::text_of(rules), "again") == rules);
-        must(shared_config::within(shared_config::meet(rules, rules), rules));
-      } catch (const shared_config::RulesError&) {
+        const auto rules = shared_config::parse_rule_set(std::string(text), "fuzz");
+        must(shared_config::parse_rule_set(shared_config::canonical_text(rules), "again") == rules);
+        must(shared_config::is_within(shared_config::meet(rules, rules), rules));
+      } catch (const shared_config::RuleSetError&) {
       }
       break;
     case 6:
@@ -107,12 +108,12 @@
     default: {
       accord::wire::Packet p;
       if (!p.ParseFromArray(text.data(), static_cast<int>(text.size()))) break;
-      shared_config::Terms terms;
+      shared_config::SharedConfigSettings terms;
       terms.voters = {"other"};
-      shared_config::Accord a(terms, "self", nullptr, {}, 1);
+      shared_config::SharedConfigNode a(terms, "self", nullptr, {}, 1);
       a.start(kSecond);
-      a.received(2 * kSecond, "other", p);
-      must(a.acting(3 * kSecond)->rules != nullptr);
+      a.handle_message(2 * kSecond, "other", p);
+      must(a.active_config(3 * kSecond)->rules != nullptr);
     }
   }
   return 0;
--- a/src/cli/accord.cpp
+++ b/src/cli/accord.cpp
@@ -170,7 +170,7 @@
     std::ifstream in(s.file, std::ios::binary);
     if (!in) return complain(kRefused, s.file + ": can't be read");
     text.assign(std::istreambuf_iterator<char>(in), {});
-    shared_config::parse_rules(text, s.file);  // its faults are told with their place
+    shared_config::parse_rule_set(text, s.file);  // its faults are told with their place
   }
   std::uint64_t base = s.base;
   if (!base)
--- a/src/cluster/admin_api.cpp
+++ b/src/cluster/admin_api.cpp
@@ -98,24 +98,26 @@
   for (const auto reason : transport::kDropReasons)
     dropped[transport::name_of(reason)] = fleet_.transport().drop_count(reason);
   const auto& t = fleet_.transport().counters();
-  return text(
-      {{"name", p.self().name},
-       {"incarnation", p.self().incarnation},
-       {"local_health", p.local_health_score()},
-       {"alive", p.live_member_count()},
-       {"peers", all},
-       {"pings", c.probes},
-       {"pings_failed", c.probes_failed},
-       {"suspected", c.suspicions},
-       {"refuted", c.refutations},
-       {"conflicts", c.address_conflicts},
-       {"lists",
-        {{"own", h.own()}, {"newest", h.newest()}, {"behind", h.behind()}, {"withholding", h.withholding()}}},
-       {"talk",
-        {{"bytes_out", t.bytes_sent},
-         {"bytes_in", t.bytes_received},
-         {"not_sent", t.messages_not_sent},
-         {"dropped", dropped}}}});
+  return text({{"name", p.self().name},
+               {"incarnation", p.self().incarnation},
+               {"local_health", p.local_health_score()},
+               {"alive", p.live_member_count()},
+               {"peers", all},
+               {"pings", c.probes},
+               {"pings_failed", c.probes_failed},
+               {"suspected", c.suspicions},
+               {"refuted", c.refutations},
+               {"conflicts", c.address_conflicts},
+               {"lists",
+                {{"own", h.own_revision()},
+                 {"newest", h.newest_revision()},
+                 {"behind", h.is_behind()},
+                 {"withholding", h.withheld_count()}}},
+               {"talk",
+                {{"bytes_out", t.bytes_sent},
+                 {"bytes_in", t.bytes_received},
+                 {"not_sent", t.messages_not_sent},
+                 {"dropped", dropped}}}});
 }
 
 std::string Operators::status() const {
@@ -124,31 +126,32 @@
   for (const auto& v : s.voters) voters.push_back({{"name", v.name}, {"votes", v.votes}});
   return text(
       {{"name", fleet_.options().name},
-       {"acts_on", s.acting.low ? json{{"low", s.acting.low}, {"high", s.acting.high}} : json("ground")},
-       {"ground", s.ground},
-       {"ground_next", s.ground_next},
-       {"lease_left_ms", ms(s.lease_left)},
-       {"rules", shared_config::text_of(*s.acting.rules)},
-       {"hash", shared_config::hash_of(shared_config::text_of(*s.acting.rules))},
+       {"acts_on", s.active_config.low ? json{{"low", s.active_config.low}, {"high", s.active_config.high}}
+                                       : json("ground")},
+       {"ground", s.baseline},
+       {"ground_next", s.next_baseline},
+       {"lease_left_ms", ms(s.lease_remaining)},
+       {"rules", shared_config::canonical_text(*s.active_config.rules)},
+       {"hash", shared_config::content_hash(shared_config::canonical_text(*s.active_config.rules))},
        {"leader", s.leader},
-       {"leads", s.leads},
+       {"leads", s.is_leader},
        {"term", s.term},
-       {"votes", s.votes},
-       {"store_failed", s.store_failed},
-       {"have", s.have},
+       {"votes", s.is_voter},
+       {"store_failed", s.has_store_failed},
+       {"have", s.newest_held},
        {"newest", s.newest},
        {"in_force", s.in_force},
        {"voters", voters},
-       {"force_waits_for", s.force_waits_for},
-       {"ground_waits_for", s.ground_waits_for}});
+       {"force_waits_for", s.brokers_delaying_version},
+       {"ground_waits_for", s.brokers_delaying_baseline}});
 }
 
 std::string Operators::history() const {
   json versions = json::array();
   for (const auto& v : fleet_.accord()->history()) versions.push_back(of(v));
-  const auto& h = fleet_.accord()->holder();
-  json out{{"versions", versions}, {"ground", of(h.ground())}};
-  if (h.ground_next()) out["ground_next"] = of(*h.ground_next());
+  const auto& h = fleet_.accord()->lease_client();
+  json out{{"versions", versions}, {"ground", of(h.baseline())}};
+  if (h.next_baseline()) out["ground_next"] = of(*h.next_baseline());
   return text(out);
 }
 
@@ -156,11 +159,11 @@
 std::string Operators::zones() const {
   const auto& z = *fleet_.zone_part();
   // Without an accord it decides for itself, from a book of its own.
-  const shared_config::Versions* own = fleet_.alone();
-  const auto s = own ? shared_config::Status{} : fleet_.accord()->status(now());
-  const auto& held = own ? own->all() : fleet_.accord()->holder().versions();
-  const auto at = held.find(own ? own->newest() : s.acting.high);
-  const shared_config::Rules& rules = own ? *at->second.rules : *s.acting.rules;
+  const shared_config::VersionHistory* own = fleet_.alone();
+  const auto s = own ? shared_config::SharedConfigStatus{} : fleet_.accord()->status(now());
+  const auto& held = own ? own->versions() : fleet_.accord()->lease_client().versions();
+  const auto at = held.find(own ? own->newest() : s.active_config.high);
+  const shared_config::RuleSet& rules = own ? *at->second.rules : *s.active_config.rules;
   json acts = json::object(), states = json::object(), shares = json::array(), seen = json::array(),
        orders = json::object();
   const auto& limits = fleet_.zones();
@@ -172,19 +175,19 @@
       for (const auto& [name, one] : *all)
         states[all == &note.zones ? name : zone_failover::region_key(name)] = {
             {"state", zone_failover::name_of(one.state)}, {"share", one.share}};
-  for (const auto& [pair, most] : rules.zones.most)
+  for (const auto& [pair, most] : rules.zone_shares.thousandths_by_pair)
     shares.push_back({{"from", pair.first}, {"to", pair.second}, {"most", most}});
   json out{{"name", fleet_.options().name},
            {"home", z.terms().home},
            {"leader", s.leader},
-           {"leads", s.leads || own},
-           {"version", own ? own->newest() : s.acting.high},
+           {"leads", s.is_leader || own},
+           {"version", own ? own->newest() : s.active_config.high},
            {"why", at == held.end() ? "" : at->second.why},
            {"acts_on", acts},
            {"states", states},
-           {"otherwise", rules.zones.otherwise},
+           {"otherwise", rules.zone_shares.default_thousandths},
            {"shares", shares}};
-  if (!s.leads && !own) return text(out);
+  if (!s.is_leader && !own) return text(out);
   for (const auto& e : z.explain())
     seen.push_back({{"zone", e.zone},
                     {"state", zone_failover::name_of(e.state)},
@@ -199,8 +202,8 @@
                     {"brokers", e.view.brokers}});
   json cut = json::array();
   for (const auto& [from, to] : z.view().cut) cut.push_back({{"from", from}, {"to", to}});
-  for (const auto& [zone, o] : (own ? *own : fleet_.accord()->engine()->versions()).orders())
-    orders[zone] = {{"what", o.what}, {"who", o.who}, {"why", o.why}};
+  for (const auto& [zone, o] : (own ? *own : fleet_.accord()->raft_node()->versions()).zone_orders())
+    orders[zone] = {{"what", o.action}, {"who", o.who}, {"why", o.why}};
   out["seen"] = seen, out["cut"] = cut, out["outvoted"] = z.view().outvoted, out["orders"] = orders;
   out["next"] = z.why();
   return text(out);
@@ -239,8 +242,8 @@
 std::string Operators::works() const {
   const auto s = fleet_.accord()->status(now());
   const auto* book = fleet_.works()->book();
-  json out{{"name", fleet_.options().name}, {"leader", s.leader}, {"leads", s.leads && book}};
-  if (!s.leads || !book) return text(out);
+  json out{{"name", fleet_.options().name}, {"leader", s.leader}, {"leads", s.is_leader && book}};
+  if (!s.is_leader || !book) return text(out);
   const auto& waits = fleet_.works()->conduct().waits();
   json works = json::array(), plan = json::array(), nodes = json::array();
   for (const auto& [n, w] : book->all()) {
@@ -349,22 +352,22 @@
     return it != j.end() && it->is_string() ? it->get<std::string>() : std::string();
   };
   if (!j.is_object()) return reply(r, 400, text({{"error", "the body is not a JSON object"}}));
-  shared_config::Entry e;
+  shared_config::ConfigEntry e;
   const std::string kind = field("kind");
   if (kind == "version")
-    e.kind = shared_config::Entry::Kind::propose;
+    e.kind = shared_config::ConfigEntry::Kind::kProposeVersion;
   else if (kind == "ground")
-    e.kind = shared_config::Entry::Kind::propose_ground;
+    e.kind = shared_config::ConfigEntry::Kind::kProposeBaseline;
   else if (kind == "strike")
-    e.kind = shared_config::Entry::Kind::strike;
+    e.kind = shared_config::ConfigEntry::Kind::kRemoveBroker;
   else if (kind == "order")
-    e.kind = shared_config::Entry::Kind::order;
+    e.kind = shared_config::ConfigEntry::Kind::kSetZoneOrder;
   else if (kind == "work")
-    e.kind = shared_config::Entry::Kind::board;
+    e.kind = shared_config::ConfigEntry::Kind::kStateMachine;
   else
     return reply(r, 400, text({{"error", "kind is neither version, ground, strike, order nor work"}}));
   e.text = field("rules");
-  if (e.kind == shared_config::Entry::Kind::board) {
+  if (e.kind == shared_config::ConfigEntry::Kind::kStateMachine) {
     const auto op = work_op(j);
     if (!op)
       return reply(
@@ -383,7 +386,7 @@
   // The library frees it once it is answered; should its connection go before, it is left to this.
   evhttp_request_own(r);
   auto waiting = std::make_shared<Waiting>(Waiting{r, here_, this});
-  fleet_.propose(std::move(e), [waiting](const std::optional<shared_config::Verdict>& v) {
+  fleet_.propose(std::move(e), [waiting](const std::optional<shared_config::ApplyResult>& v) {
     if (!*waiting->here) return evhttp_request_free(waiting->request);
     --waiting->home->waiting_;
     evhttp_request* request = waiting->request;
@@ -393,7 +396,7 @@
     else if (v->number)
       reply(request, 200, text({{"number", v->number}}));
     else
-      reply(request, 409, text({{"refused", v->refused}}));
+      reply(request, 409, text({{"refused", v->rejection}}));
   });
 }
 
--- a/src/cluster/cluster_node.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -38,17 +38,17 @@
   return result;
 }
 
-shared_config::Terms accord_terms(const options::Accord& o) {
-  shared_config::Terms t;
-  t.lease.stated = o.stated, t.lease.drift = o.drift;
+shared_config::SharedConfigSettings accord_terms(const options::Accord& o) {
+  shared_config::SharedConfigSettings t;
+  t.lease.max_divergence = o.stated, t.lease.max_clock_drift = o.drift;
   t.voters = o.voters;
-  t.life = randombytes_random();
-  t.replace_after = o.replace_after;
+  t.incarnation = randombytes_random();
+  t.voter_replacement_delay = o.replace_after;
   // Elections take a small share of the stated time; under it the first commits after one fit as well.
   const Time ms = kSecond / 1000;
-  t.engine.election = std::clamp<Time>(o.stated / 8, 60 * ms, 300 * ms);
-  t.engine.heartbeat = t.engine.election / 5;
-  t.engine.tick = std::max<Time>(5 * ms, t.engine.election / 15);
+  t.raft.election = std::clamp<Time>(o.stated / 8, 60 * ms, 300 * ms);
+  t.raft.heartbeat = t.raft.election / 5;
+  t.raft.tick = std::max<Time>(5 * ms, t.raft.election / 15);
   return t;
 }
 
@@ -80,11 +80,11 @@
   return s == EndpointState::kReady ? "ready" : s == EndpointState::kDraining ? "draining" : "gone";
 }
 
-shared_config::Rules ground_of(const options::Accord& o) {
+shared_config::RuleSet ground_of(const options::Accord& o) {
   if (o.ground_file.empty()) return {};
   std::ifstream in(o.ground_file, std::ios::binary);
   if (!in) throw std::runtime_error(o.ground_file + ": can't be read");
-  return shared_config::parse_rules({std::istreambuf_iterator<char>(in), {}}, o.ground_file);
+  return shared_config::parse_rule_set({std::istreambuf_iterator<char>(in), {}}, o.ground_file);
 }
 
 }  // namespace
@@ -100,7 +100,7 @@
   if (!o.records.empty()) event_log_ = std::make_unique<EventLog>(o.records, o.name);
   for (const auto& p : o.peers) peers_.add_configured_member(p.name, p.address);
   if (o.accord) {
-    shared_config::Rules ground = ground_of(*o.accord);
+    shared_config::RuleSet ground = ground_of(*o.accord);
     if (!o.accord->folder.empty()) {
       std::string aside;
       std::uint64_t id;
@@ -111,32 +111,32 @@
         if (event_log_) event_log_->record_event("set_aside").with("as", aside);
       }
     }
-    accord_ = std::make_unique<shared_config::Accord>(accord_terms(*o.accord), o.name, store_.get(),
-                                                      std::move(ground), seed + 1,
-                                                      std::make_shared<maintenance::Works>());
+    accord_ = std::make_unique<shared_config::SharedConfigNode>(accord_terms(*o.accord), o.name, store_.get(),
+                                                                std::move(ground), seed + 1,
+                                                                std::make_shared<maintenance::Works>());
     std::string text;
     std::uint64_t number = 0;
     if (store_ && store_->ground(text, number)) {
       shared_config::Version kept;
-      kept.number = kept_ground_ = number, kept.text = text, kept.hash = shared_config::hash_of(text);
+      kept.number = kept_ground_ = number, kept.text = text, kept.hash = shared_config::content_hash(text);
       kept.rules =
-          std::make_shared<const shared_config::Rules>(shared_config::parse_rules(text, "kept ground"));
-      accord_->keep_ground(kept);
+          std::make_shared<const shared_config::RuleSet>(shared_config::parse_rule_set(text, "kept ground"));
+      accord_->restore_baseline(kept);
     }
-    accord_->applied = [this](const shared_config::Entry& e, const shared_config::Verdict& v) {
+    accord_->on_applied = [this](const shared_config::ConfigEntry& e, const shared_config::ApplyResult& v) {
       if (!event_log_) return;
       event_log_->record_event("applied")
           .with("kind", static_cast<std::uint64_t>(e.kind))
           .with("number", v.number)
           .with("id", e.id)
-          .with("index", accord_ && accord_->engine() ? accord_->engine()->applied_index() : 0)
-          .with("refused", v.refused);
-      if (works_ && e.kind == shared_config::Entry::Kind::board) works_->applied();
+          .with("index", accord_ && accord_->raft_node() ? accord_->raft_node()->applied_index() : 0)
+          .with("refused", v.rejection);
+      if (works_ && e.kind == shared_config::ConfigEntry::Kind::kStateMachine) works_->applied();
     };
-    applied_ = accord_->acting(now());
+    applied_ = accord_->active_config(now());
   } else {
-    auto none = std::make_shared<shared_config::Acting>();
-    none->rules = std::make_shared<const shared_config::Rules>();
+    auto none = std::make_shared<shared_config::ActiveConfig>();
+    none->rules = std::make_shared<const shared_config::RuleSet>();
     applied_ = std::move(none);
   }
   limits_.resize(op_types_.size());
@@ -157,7 +157,7 @@
   for (std::size_t i = 0; i < ops.size(); ++i)
     stays_in_region_[i] = std::count(o.stay_in_region.begin(), o.stay_in_region.end(), ops[i].name) > 0 ||
                           ops[i].op.latency_objective < kRoundTripsInBudget * o.region_round_trip;
-  if (!accord_) alone_ = std::make_unique<shared_config::Versions>();
+  if (!accord_) alone_ = std::make_unique<shared_config::VersionHistory>();
   crossing_ = std::make_unique<zone_failover::Crossing>(o.crossing_saved, ops.size());
   crossing_stated_.assign(ops.size(), zone_failover::kNoBudget);
   for (const auto& [name, most] : o.crossing)
@@ -178,7 +178,7 @@
 }
 
 bool Fleet::ready() {
-  return !accord_ || accord_->ever_answered() || now() - started_at_ >= options_.accord->start_wait;
+  return !accord_ || accord_->has_leader_answered() || now() - started_at_ >= options_.accord->start_wait;
 }
 
 void Fleet::change_keys() {
@@ -217,7 +217,7 @@
     if (!m->payload.empty()) heard_lists(from, m->payload);
   } else if (kind == kAccord && accord_) {
     accord::wire::Packet p;
-    if (p.ParseFromArray(body.data(), static_cast<int>(body.size()))) accord_->received(now(), from, p);
+    if (p.ParseFromArray(body.data(), static_cast<int>(body.size()))) accord_->handle_message(now(), from, p);
   } else if (kind == kWorks && works_) {
     works_->heard(now(), program_, from, body);
   } else if (kind == kZones && zones_) {
@@ -228,7 +228,7 @@
 
 std::string Fleet::lists_digest() const {
   accord::wire::Lists l;
-  l.set_newest(hearsay_.newest());
+  l.set_newest(hearsay_.newest_revision());
   l.set_digest(hearsay_.digest());
   return l.SerializeAsString();
 }
@@ -237,41 +237,41 @@
   if (!options_.share_lists) return;
   accord::wire::Lists l;
   if (!l.ParseFromString(cargo)) return;
-  hearsay_.heard_of(l.newest());
+  hearsay_.note_revision(l.newest());
   for (const auto& n : l.notice()) {
     if (n.node().empty() || n.node().size() > 128) continue;
-    const shared_config::Notice notice{n.node(), n.started(), n.gone(), n.revision()};
-    if (!hearsay_.heard(notice)) continue;
+    const shared_config::EndpointNotice notice{n.node(), n.started(), n.gone(), n.revision()};
+    if (!hearsay_.handle_notice(notice)) continue;
     ++hearsay_now_;
     if (!event_log_) continue;
-    told_.insert(notice.node);
+    told_.insert(notice.endpoint);
     event_log_->record_event("heard")
-        .with("node", notice.node)
-        .with("state", notice.gone ? "gone" : "draining")
+        .with("node", notice.endpoint)
+        .with("state", notice.is_gone ? "gone" : "draining")
         .with("revision", notice.revision)
         .with("from", from);
   }
-  if (l.ask()) tell_lists(hearsay_.all(), from);
+  if (l.ask()) tell_lists(hearsay_.notices(), from);
   // Another holds notices that differ: ask for all of them, now and then.
   if (!l.ask() && l.has_digest() && l.digest() != hearsay_.digest() &&
       now() - asked_lists_at_ >= kAskListsEvery) {
     asked_lists_at_ = now();
     accord::wire::Lists ask;
-    ask.set_newest(hearsay_.newest());
+    ask.set_newest(hearsay_.newest_revision());
     ask.set_ask(true);
     peers_.send_payload(from, ask.SerializeAsString());
   }
 }
 
 // `to` empty: a few, at random.
-void Fleet::tell_lists(const std::vector<shared_config::Notice>& notices, const std::string& to) {
+void Fleet::tell_lists(const std::vector<shared_config::EndpointNotice>& notices, const std::string& to) {
   for (std::size_t at = 0; at < notices.size(); at += kNoticesAMessage) {
     accord::wire::Lists l;
-    l.set_newest(hearsay_.newest());
+    l.set_newest(hearsay_.newest_revision());
     for (std::size_t i = at; i < std::min(at + kNoticesAMessage, notices.size()); ++i) {
       auto* n = l.add_notice();
-      n->set_node(notices[i].node), n->set_started(notices[i].started);
-      n->set_gone(notices[i].gone), n->set_revision(notices[i].revision);
+      n->set_node(notices[i].endpoint), n->set_started(notices[i].started_at);
+      n->set_gone(notices[i].is_gone), n->set_revision(notices[i].revision);
     }
     if (to.empty())
       peers_.send_payload_to_random_members(kTellOn, l.SerializeAsString());
@@ -290,7 +290,7 @@
   pumping_ = true;
   const Time at = now();
   if (options_.share_lists && !in_list_)
-    if (const auto news = hearsay_.news(); !news.empty()) tell_lists(news, "");
+    if (const auto news = hearsay_.take_new_notices(); !news.empty()) tell_lists(news, "");
   while (auto m = peers_.take_outgoing()) {
     if (m->message.payload.empty() && options_.share_lists) m->message.payload = lists_digest();
     transport_.send(m->to, m->address, kPeers + membership::encode(m->message));
@@ -304,15 +304,15 @@
           .with("to", membership::name_of(c->to));
     if (zones_ && !membership::is_live(c->to)) zones_->gone(c->name);
     if (works_ && !membership::is_live(c->to)) works_->gone(c->name);
-    if (accord_) accord_->peer(at, c->name, membership::is_live(c->to));
+    if (accord_) accord_->update_peer(at, c->name, membership::is_live(c->to));
   }
   while (auto name = peers_.take_forgotten_member()) transport_.forget_peer(*name);
   if (accord_) {
     if (zones_) turn_zones();
-    if (works_) works_->turn(at, program_, *applied_, listed_, hearsay_.own());
+    if (works_) works_->turn(at, program_, *applied_, listed_, hearsay_.own_revision());
     keep_ground();
     note_lease();  // before others are told of it: what they do on that must not stand earlier in the events
-    while (auto o = accord_->send()) send_to(o->to, kAccord + o->bytes);
+    while (auto o = accord_->take_message()) send_to(o->to, kAccord + o->bytes);
   } else if (zones_) {
     turn_alone();
   }
@@ -320,8 +320,9 @@
   if (may_turn) look_behind();
   Time next = peers_.next_timer();
   if (accord_) {
-    next = std::min(next, accord_->wake());
-    if (accord_->holder().until() > at) next = std::min(next, accord_->holder().until());
+    next = std::min(next, accord_->next_wake());
+    if (accord_->lease_client().lease_expires_at() > at)
+      next = std::min(next, accord_->lease_client().lease_expires_at());
   }
   if (zones_) next = std::min(next, std::max(zones_->wake(), at + 1));
   if (works_) next = std::min(next, std::max(works_->wake(), at + 1));
@@ -329,7 +330,7 @@
     next = std::min(next, std::max(behind_since_ + kBehindFor, asked_agent_at_ + kAskAgentEvery));
   if (next != kNever) wake_.start(std::max<Time>(0, next - now()));
   const bool news = !in_list_ && program_.changed &&
-                    (hearsay_seen_ != hearsay_now_ || (accord_ && accord_->acting(now()) != applied_));
+                    (hearsay_seen_ != hearsay_now_ || (accord_ && accord_->active_config(now()) != applied_));
   pumping_ = false;
   if (news && may_turn) program_.changed();
 }
@@ -337,7 +338,7 @@
 void Fleet::woken() {
   const Time at = now();
   peers_.handle_timers(at);
-  if (accord_) accord_->woken(at);
+  if (accord_) accord_->handle_wake(at);
   pump();
 }
 
@@ -346,23 +347,23 @@
 // allow that were made since. What it keeps to while the next one waits, the meet of both, goes by the older
 // one's number: it then asks for both again.
 void Fleet::keep_ground() {
-  const auto& holder = accord_->holder();
-  const auto& ground = holder.ground();
-  const std::uint64_t next = holder.ground_next() ? holder.ground_next()->number : 0;
+  const auto& holder = accord_->lease_client();
+  const auto& ground = holder.baseline();
+  const std::uint64_t next = holder.next_baseline() ? holder.next_baseline()->number : 0;
   if (ground.number == kept_ground_ && next == kept_next_) return;
   const bool newer = ground.number > kept_ground_ && !next;
   kept_ground_ = std::max(kept_ground_, ground.number), kept_next_ = next;
-  if (store_) store_->keep_ground(shared_config::text_of(holder.grounded()), ground.number);
+  if (store_) store_->keep_ground(shared_config::canonical_text(holder.baseline_rules()), ground.number);
   if (newer && event_log_) event_log_->record_event("keeps").with("ground", ground.number);
 }
 
 // For the auditor: from when until when this broker may act on what.
 void Fleet::note_lease() {
   if (!event_log_) return;
-  const Time at = now(), until = accord_->holder().until();
-  const auto& acting = accord_->acting(at);
+  const Time at = now(), until = accord_->lease_client().lease_expires_at();
+  const auto& acting = accord_->active_config(at);
   if (acting->low == 0) {
-    if (noted_low_ != 0) event_log_->record_event("ground").with("ground", acting->ground);
+    if (noted_low_ != 0) event_log_->record_event("ground").with("ground", acting->baseline);
     noted_low_ = noted_high_ = 0;
     return;
   }
@@ -389,12 +390,13 @@
   log("zones", "%s", e->why.c_str());
   if (event_log_)
     event_log_->record_event("zones").with("why", e->why).with("note", e->note).with("id", e->id);
-  const bool ground = e->kind == shared_config::Entry::Kind::propose_ground;
+  const bool ground = e->kind == shared_config::ConfigEntry::Kind::kProposeBaseline;
   e->number = alone_->apply(*e).number;
-  e->kind = ground ? shared_config::Entry::Kind::force_ground : shared_config::Entry::Kind::force;
+  e->kind = ground ? shared_config::ConfigEntry::Kind::kActivateBaseline
+                   : shared_config::ConfigEntry::Kind::kActivateVersion;
   alone_->apply(*e);
-  const shared_config::Version& newest = alone_->all().rbegin()->second;
-  auto acting = std::make_shared<shared_config::Acting>();
+  const shared_config::Version& newest = alone_->versions().rbegin()->second;
+  auto acting = std::make_shared<shared_config::ActiveConfig>();
   acting->rules = newest.rules, acting->low = acting->high = newest.number;
   applied_ = std::move(acting);
   take_zones();
@@ -411,7 +413,7 @@
   to.erase(options_.name);
   const std::string bytes = kZones + zone_failover::encode(*report);
   for (const auto& name : to) send_to(name, bytes);
-  const auto* engine = accord_->engine();
+  const auto* engine = accord_->raft_node();
   if (!engine || !engine->leads()) return zones_->leads_no_more();
   if (auto e = zones_->lead(at, engine->versions())) {
     log("zones", "%s", e->why.c_str());
@@ -425,9 +427,9 @@
 void Fleet::take_zones() {
   const shared_config::Version* newest = nullptr;
   if (alone_) {
-    newest = &alone_->all().rbegin()->second;
+    newest = &alone_->versions().rbegin()->second;
   } else if (applied_->high) {
-    const auto& held = accord_->holder().versions();
+    const auto& held = accord_->lease_client().versions();
     const auto it = held.find(applied_->high);
     if (it != held.end()) newest = &it->second;
   }
@@ -496,7 +498,7 @@
 // As the options state and as the rules allow, whichever is less.
 void Fleet::limit_crossing() {
   for (std::size_t i = 0; i < op_types_.size(); ++i) {
-    const std::int64_t most = applied_->rules->of(op_types_[i]).crossing_most;
+    const std::int64_t most = applied_->rules->rule_for(op_types_[i]).max_cross_zone_bytes_per_second;
     crossing_->limit(now(), static_cast<int>(i),
                      std::min(crossing_stated_[i],
                               most == INT64_MAX ? zone_failover::kNoBudget : static_cast<double>(most)));
@@ -515,7 +517,7 @@
 
 void Fleet::look_behind() {
   const Time at = now();
-  if (!hearsay_.behind() || hearsay_.own() == 0) {
+  if (!hearsay_.is_behind() || hearsay_.own_revision() == 0) {
     behind_since_ = kNever;
     return;
   }
@@ -523,9 +525,12 @@
   if (at - behind_since_ < kBehindFor || at - asked_agent_at_ < kAskAgentEvery || !program_.ask_agent) return;
   asked_agent_at_ = at;
   log("fleet", "the list in hand, revision %llu, is behind %llu that others hold: the agent is asked anew",
-      static_cast<unsigned long long>(hearsay_.own()), static_cast<unsigned long long>(hearsay_.newest()));
+      static_cast<unsigned long long>(hearsay_.own_revision()),
+      static_cast<unsigned long long>(hearsay_.newest_revision()));
   if (event_log_)
-    event_log_->record_event("behind").with("own", hearsay_.own()).with("newest", hearsay_.newest());
+    event_log_->record_event("behind")
+        .with("own", hearsay_.own_revision())
+        .with("newest", hearsay_.newest_revision());
   program_.ask_agent();
 }
 
@@ -533,20 +538,20 @@
   const bool heard = hearsay_seen_ != hearsay_now_;
   hearsay_seen_ = hearsay_now_;
   if (!accord_) return std::exchange(shares_new_, false) || heard;
-  const auto& acting = accord_->acting(now());
+  const auto& acting = accord_->active_config(now());
   if (acting == applied_) return heard;
   applied_ = acting;
   for (std::size_t i = 0; i < op_types_.size(); ++i) {
-    const auto& r = applied_->rules->of(op_types_[i]);
-    limits_[i] = {r.served, r.time_most, r.held_most, r.budget_most, r.least_share};
+    const auto& r = applied_->rules->rule_for(op_types_[i]);
+    limits_[i] = {r.is_served, r.max_duration, r.max_in_progress, r.max_latency_budget, r.min_share};
   }
   if (zones_) limit_crossing(), take_zones();
   if (event_log_)
     event_log_->record_event("acts")
         .with("low", applied_->low)
         .with("high", applied_->high)
-        .with("ground", applied_->ground)
-        .with("hash", shared_config::hash_of(shared_config::text_of(*applied_->rules)));
+        .with("ground", applied_->baseline)
+        .with("hash", shared_config::content_hash(shared_config::canonical_text(*applied_->rules)));
   return true;
 }
 
@@ -554,19 +559,22 @@
   return limits_.at(static_cast<std::size_t>(op_type));
 }
 bool Fleet::two_phase(int op_type) const {
-  return applied_->rules->two_phase_off.count(op_types_.at(static_cast<std::size_t>(op_type))) == 0;
+  return applied_->rules->two_phase_disabled.count(op_types_.at(static_cast<std::size_t>(op_type))) == 0;
+}
+bool Fleet::index(const std::string& name) const {
+  return applied_->rules->disabled_indices.count(name) == 0;
 }
-bool Fleet::index(const std::string& name) const { return applied_->rules->index_off.count(name) == 0; }
 
 bool Fleet::withheld(const std::string& node, Time started) const {
-  return (options_.share_lists && hearsay_.withheld(node, started)) ||
-         applied_->rules->withheld.count(node) != 0 || applied_->rules->at_work.count(node) != 0;
+  return (options_.share_lists && hearsay_.is_withheld(node, started)) ||
+         applied_->rules->withheld_endpoints.count(node) != 0 ||
+         applied_->rules->endpoints_in_maintenance.count(node) != 0;
 }
 
 void Fleet::list_begins(std::uint64_t revision, bool whole) {
   in_list_ = true;
   if (event_log_) event_log_->record_event("list").with("revision", revision).with("whole", whole);
-  hearsay_.begins(revision, whole);
+  hearsay_.begin_list(revision, whole);
   ++lists_, list_whole_ = whole;
 }
 void Fleet::list_node(const std::string& node, Time started, EndpointState state, const std::string& locality,
@@ -576,17 +584,17 @@
   else if (zones_ || works_)
     listed_[node] = {zones_ ? zones_->name_of(zones_->number_of(locality)) : locality, cell, started,
                      state == EndpointState::kReady, lists_};
-  hearsay_.node(node, started, state == EndpointState::kReady, state == EndpointState::kRemoved);
+  hearsay_.add_endpoint(node, started, state == EndpointState::kReady, state == EndpointState::kRemoved);
   if (!event_log_) return;
   if (state != EndpointState::kReady) {
     event_log_->record_event("told").with("node", node).with("state", name_of(state));
     told_.insert(node);
-  } else if (!hearsay_.withheld(node, started) && told_.erase(node)) {
+  } else if (!hearsay_.is_withheld(node, started) && told_.erase(node)) {
     event_log_->record_event("ready").with("node", node);
   }
 }
 void Fleet::list_ends() {
-  for (const auto& node : hearsay_.ends())
+  for (const auto& node : hearsay_.end_list())
     if (event_log_)
       event_log_->record_event("told").with("node", node).with("state", "gone"), told_.insert(node);
   if (list_whole_) std::erase_if(listed_, [&](const auto& s) { return s.second.named_in != lists_; });
@@ -597,11 +605,11 @@
   pump(false);
 }
 void Fleet::list_anew() {
-  hearsay_.anew();
+  hearsay_.reset();
   listed_.clear();
 }
 
-void Fleet::propose(shared_config::Entry entry, shared_config::Accord::Done done) {
+void Fleet::propose(shared_config::ConfigEntry entry, shared_config::SharedConfigNode::Done done) {
   if (!accord_) return done(std::nullopt);
   accord_->propose(now(), std::move(entry), std::move(done));
   pump();
--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -44,12 +44,12 @@
   // Common.
   bool changed() override;
   const dispatch::OpLimits& limits(int op_type) const override;
-  int sends_most() const override { return applied_->rules->sends_most; }
-  bool second_copies() const override { return applied_->rules->second_copies; }
+  int sends_most() const override { return applied_->rules->max_attempts; }
+  bool second_copies() const override { return applied_->rules->allows_hedging; }
   bool two_phase(int op_type) const override;
   bool index(const std::string& name) const override;
   bool withheld(const std::string& node, Time started) const override;
-  std::uint64_t list_floor() const override { return applied_->rules->list_floor; }
+  std::uint64_t list_floor() const override { return applied_->rules->min_list_revision; }
   void list_begins(std::uint64_t revision, bool whole) override;
   void list_node(const std::string& node, Time started, EndpointState state, const std::string& locality,
                  int cell) override;
@@ -70,22 +70,24 @@
   // For the operators' address.
   const options::Fleet& options() const { return options_; }
   const membership::SwimMembership& peers() const { return peers_; }
-  const shared_config::Hearsay& hearsay() const { return hearsay_; }
+  const shared_config::EndpointGossip& hearsay() const { return hearsay_; }
   const transport::Transport& transport() const { return transport_; }
-  shared_config::Accord* accord() { return accord_.get(); }
+  shared_config::SharedConfigNode* accord() { return accord_.get(); }
   const Works* works() const { return works_.get(); }
   const zone_failover::Zones* zone_part() const { return zones_.get(); }
-  const shared_config::Versions* alone() const { return alone_.get(); }  // where it decides of zones alone
+  const shared_config::VersionHistory* alone() const {
+    return alone_.get();
+  }  // where it decides of zones alone
   const zone_failover::Crossing* crossing() const { return crossing_.get(); }
   const std::vector<std::string>& op_types() const { return op_types_; }
-  void propose(shared_config::Entry entry, shared_config::Accord::Done done);
+  void propose(shared_config::ConfigEntry entry, shared_config::SharedConfigNode::Done done);
 
  private:
   void heard(const std::string& from, std::string_view body);
   void heard_lists(const std::string& from, const std::string& cargo);
   void pump(bool may_turn = true);
   void woken();
-  void tell_lists(const std::vector<shared_config::Notice>& notices, const std::string& to);
+  void tell_lists(const std::vector<shared_config::EndpointNotice>& notices, const std::string& to);
   std::string lists_digest() const;
   void send_to(const std::string& to, const std::string& bytes);
   void begin_zones(const options::Zones& options, const settings::Settings& settings);
@@ -104,17 +106,18 @@
   std::vector<std::string> op_types_;
   std::unique_ptr<EventLog> event_log_;
   membership::SwimMembership peers_;
-  shared_config::Hearsay hearsay_;
+  shared_config::EndpointGossip hearsay_;
   std::unique_ptr<shared_config::Kept> store_;
-  std::unique_ptr<shared_config::Accord> accord_;
+  std::unique_ptr<shared_config::SharedConfigNode> accord_;
   transport::Transport transport_;
   Timer wake_;
   Program program_;
-  std::shared_ptr<const shared_config::Acting> applied_;
+  std::shared_ptr<const shared_config::ActiveConfig> applied_;
   std::vector<dispatch::OpLimits> limits_;
   std::unique_ptr<zone_failover::Zones> zones_;
   std::unique_ptr<Works> works_;
-  std::unique_ptr<shared_config::Versions> alone_;  // of zones, where there is no accord: a book of its own
+  std::unique_ptr<shared_config::VersionHistory>
+      alone_;  // of zones, where there is no accord: a book of its own
   std::unique_ptr<zone_failover::Crossing> crossing_;
   std::vector<double> crossing_stated_;  // bytes a second, by op type
   std::vector<ZoneLimit> zone_limits_;
--- a/src/cluster/maintenance_agent.cpp
+++ b/src/cluster/maintenance_agent.cpp
@@ -31,7 +31,7 @@
 }  // namespace
 
 Works::Works(event_base* base, const options::Fleet& options, const settings::Settings& settings,
-             shared_config::Accord& accord, const membership::SwimMembership& peers,
+             shared_config::SharedConfigNode& accord, const membership::SwimMembership& peers,
              const zone_failover::Zones* zones, EventLog* event_log, Send send)
     : options_(options),
       accord_(accord),
@@ -48,8 +48,8 @@
       }) {}
 
 const maintenance::Works* Works::book() const {
-  const auto* engine = accord_.engine();
-  return engine ? dynamic_cast<const maintenance::Works*>(engine->versions().board().get()) : nullptr;
+  const auto* engine = accord_.raft_node();
+  return engine ? dynamic_cast<const maintenance::Works*>(engine->versions().state_machine().get()) : nullptr;
 }
 
 maintenance::Facts Works::see(Time now, const std::map<std::string, Listed>& listed,
@@ -73,34 +73,35 @@
       it->second.load = e.view.load, it->second.capacity = e.view.capacity;
     }
   }
-  f.voters = accord_.engine()->voting();
+  f.voters = accord_.raft_node()->voting();
   return f;
 }
 
-void Works::turn(Time now, const Program& program, const shared_config::Acting& acted,
+void Works::turn(Time now, const Program& program, const shared_config::ActiveConfig& acted,
                  const std::map<std::string, Listed>& listed, std::uint64_t revision) {
   if (now < conduct_.wake()) return;
   conduct_.looked(now);
   // What is acted on under a lease that has lapsed meanwhile tells nothing: the next look will.
-  if (!acted.rules->at_work.empty() && program.clear && acted.low == accord_.acting(now)->low) {
+  if (!acted.rules->endpoints_in_maintenance.empty() && program.clear &&
+      acted.low == accord_.active_config(now)->low) {
     maintenance::Message m;
     m.clear.emplace();
     m.clear->low = acted.low;
-    for (const auto& node : acted.rules->at_work) m.clear->out[node] = program.clear(node);
-    if (accord_.leader() == options_.name || (accord_.engine() && accord_.engine()->leads()))
+    for (const auto& node : acted.rules->endpoints_in_maintenance) m.clear->out[node] = program.clear(node);
+    if (accord_.leader() == options_.name || (accord_.raft_node() && accord_.raft_node()->leads()))
       conduct_.heard(now, options_.name, std::move(*m.clear));
     else if (!accord_.leader().empty())
       send_(accord_.leader(), encode(m));
   }
-  const auto* engine = accord_.engine();
+  const auto* engine = accord_.raft_node();
   const auto* works = book();
   if (!engine || !works) return;
-  accord_.retire(conduct_.retiring(*works));
+  accord_.set_retiring_brokers(conduct_.retiring(*works));
   if (!engine->leads()) return conduct_.leads_no_more();
   if (revision == 0) return;  // it has no list yet, and sees nothing
   maintenance::Seen seen;
   seen.facts = see(now, listed, revision);
-  seen.held = accord_.leases().held();
+  seen.held = accord_.lease_manager().brokers();
   seen.voters = engine->voting();
   for (const auto* member : peers_.members().live()) seen.alive.insert(member->update.name);
   auto e = conduct_.lead(now, wall_now(), engine->versions(), seen);
@@ -113,8 +114,8 @@
   }
   if (!e) return;
   log("upkeep", "%s", e->why.c_str());
-  accord_.propose(now, std::move(*e), [this](const std::optional<shared_config::Verdict>& v) {
-    if (v && !v->number) log("upkeep", "refused: %s", v->refused.c_str());
+  accord_.propose(now, std::move(*e), [this](const std::optional<shared_config::ApplyResult>& v) {
+    if (v && !v->number) log("upkeep", "refused: %s", v->rejection.c_str());
     conduct_.settled(v && v->number);
   });
 }
@@ -151,7 +152,7 @@
         .with("machine", w.request.machine)
         .with("step", maintenance::name_of(w.step))
         .with("nodes", nodes)
-        .with("index", accord_.engine()->applied_index())
+        .with("index", accord_.raft_node()->applied_index())
         .with("why", w.last);
   }
   std::erase_if(recorded_, [&](const auto& r) { return !works->all().count(r.first); });
--- a/src/cluster/maintenance_agent.h
+++ b/src/cluster/maintenance_agent.h
@@ -43,12 +43,12 @@
   // `send` sends bytes to a broker by name.
   using Send = std::function<void(const std::string& to, const std::string& bytes)>;
   Works(event_base* base, const options::Fleet& options, const settings::Settings& settings,
-        shared_config::Accord& accord, const membership::SwimMembership& peers,
+        shared_config::SharedConfigNode& accord, const membership::SwimMembership& peers,
         const zone_failover::Zones* zones, EventLog* event_log, Send send);
 
   Time wake() const { return conduct_.wake(); }
   // `acted`: what the core acts on; `listed`: the own list's nodes, of that revision.
-  void turn(Time now, const Program& program, const shared_config::Acting& acted,
+  void turn(Time now, const Program& program, const shared_config::ActiveConfig& acted,
             const std::map<std::string, Listed>& listed, std::uint64_t revision);
   void heard(Time now, const Program& program, const std::string& from, std::string_view bytes);
   void gone(const std::string& broker) { conduct_.gone(broker); }
@@ -63,7 +63,7 @@
   void stand_down(const Program& program, std::uint64_t work);
 
   const options::Fleet& options_;
-  shared_config::Accord& accord_;
+  shared_config::SharedConfigNode& accord_;
   const membership::SwimMembership& peers_;
   const zone_failover::Zones* zones_;
   EventLog* event_log_;
--- a/src/maintenance/job_queue.cpp
+++ b/src/maintenance/job_queue.cpp
@@ -188,12 +188,13 @@
   return op;
 }
 
-shared_config::Verdict Works::apply(const shared_config::Entry& e,
-                                    std::shared_ptr<const shared_config::Board>& next) const {
+shared_config::ApplyResult Works::apply(
+    const shared_config::ConfigEntry& e,
+    std::shared_ptr<const shared_config::ReplicatedStateMachine>& next) const {
   const auto op = decode_op(e.text);
   if (!op) return {0, "an entry on works that can't be read"};
   auto made = std::make_shared<Works>(*this);
-  shared_config::Verdict v;
+  shared_config::ApplyResult v;
   if (op->request) {
     v = made->request(e, *op);
   } else if (op->facts) {
@@ -223,7 +224,7 @@
       ++it;
 }
 
-shared_config::Verdict Works::request(const shared_config::Entry& e, const Op& op) {
+shared_config::ApplyResult Works::request(const shared_config::ConfigEntry& e, const Op& op) {
   const Request& r = *op.request;
   if (!good(r.machine)) return {0, "machine is missing or no name"};
   if (r.nodes.empty() && r.brokers.empty()) return {0, "a machine carries at least one node or broker"};
@@ -281,7 +282,7 @@
   return {w.number, ""};
 }
 
-shared_config::Verdict Works::step(const shared_config::Entry& e, const Op& op) {
+shared_config::ApplyResult Works::step(const shared_config::ConfigEntry& e, const Op& op) {
   const auto it = works_.find(op.step->work);
   if (it == works_.end()) return {0, "no such work"};
   Work& w = it->second;
@@ -297,7 +298,7 @@
   return {w.number, ""};
 }
 
-shared_config::Verdict Works::operators(const shared_config::Entry& e, const Op& op) {
+shared_config::ApplyResult Works::operators(const shared_config::ConfigEntry& e, const Op& op) {
   const auto named = op.hold     ? *op.hold
                      : op.resume ? *op.resume
                      : op.cancel ? *op.cancel
@@ -502,7 +503,7 @@
   return s.SerializeAsString();
 }
 
-std::shared_ptr<const shared_config::Board> Works::restore(std::string_view bytes) const {
+std::shared_ptr<const shared_config::ReplicatedStateMachine> Works::restore(std::string_view bytes) const {
   upkeep::wire::State s;
   if (!s.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return nullptr;
   auto made = std::make_shared<Works>();
--- a/src/maintenance/job_queue.h
+++ b/src/maintenance/job_queue.h
@@ -104,12 +104,13 @@
 std::string encode(const Op& op);  // text
 std::optional<Op> decode_op(const std::string& text);
 
-class Works : public shared_config::Board {
+class Works : public shared_config::ReplicatedStateMachine {
  public:
-  shared_config::Verdict apply(const shared_config::Entry& entry,
-                               std::shared_ptr<const shared_config::Board>& next) const override;
+  shared_config::ApplyResult apply(
+      const shared_config::ConfigEntry& entry,
+      std::shared_ptr<const shared_config::ReplicatedStateMachine>& next) const override;
   std::string snapshot() const override;
-  std::shared_ptr<const shared_config::Board> restore(std::string_view bytes) const override;
+  std::shared_ptr<const shared_config::ReplicatedStateMachine> restore(std::string_view bytes) const override;
 
   const std::map<std::uint64_t, Work>& all() const { return works_; }
   const Facts& facts() const { return facts_; }
@@ -139,9 +140,9 @@
   static constexpr std::size_t kOpen = 2000, kEnded = 256, kNodes = 4096;
 
  private:
-  shared_config::Verdict request(const shared_config::Entry& e, const Op& op);
-  shared_config::Verdict step(const shared_config::Entry& e, const Op& op);
-  shared_config::Verdict operators(const shared_config::Entry& e, const Op& op);
+  shared_config::ApplyResult request(const shared_config::ConfigEntry& e, const Op& op);
+  shared_config::ApplyResult step(const shared_config::ConfigEntry& e, const Op& op);
+  shared_config::ApplyResult operators(const shared_config::ConfigEntry& e, const Op& op);
   void to(Work& work, Step step, Time at, const std::string& why);
   void forget_old();
   bool holds(const NodeFact& node, int shard) const;
--- a/src/maintenance/maintenance_controller.cpp
+++ b/src/maintenance/maintenance_controller.cpp
@@ -17,15 +17,15 @@
   return std::any_of(names.begin(), names.end(), [&](const auto& n) { return all.count(n) != 0; });
 }
 std::string rules_with(const std::set<std::string>& nodes) {
-  shared_config::Rules r;
-  r.at_work = nodes;
-  return shared_config::text_of(r);
+  shared_config::RuleSet r;
+  r.endpoints_in_maintenance = nodes;
+  return shared_config::canonical_text(r);
 }
 
 }  // namespace
 
 void Conduct::heard(Time now, const std::string& from, Clear clear) {
-  if (clears_.size() >= shared_config::Versions::kRoster && !clears_.count(from)) return;
+  if (clears_.size() >= shared_config::VersionHistory::kMaxBrokers && !clears_.count(from)) return;
   clear.at = now;
   clears_[from] = std::move(clear);
 }
@@ -47,16 +47,18 @@
   }
 }
 
-shared_config::Entry Conduct::entry(shared_config::Entry::Kind kind, Time now, const std::string& why) {
-  shared_config::Entry e;
+shared_config::ConfigEntry Conduct::entry(shared_config::ConfigEntry::Kind kind, Time now,
+                                          const std::string& why) {
+  shared_config::ConfigEntry e;
   e.kind = kind, e.who = "upkeep", e.why = why.substr(0, 256);
-  e.id =
-      "upkeep-" + shared_config::hash_of(self_ + " " + std::to_string(now) + " " + std::to_string(++said_));
+  e.id = "upkeep-" +
+         shared_config::content_hash(self_ + " " + std::to_string(now) + " " + std::to_string(++said_));
   return e;
 }
 
-shared_config::Entry Conduct::move(Time now, Time wall, const Work& w, Step to, const std::string& why) {
-  shared_config::Entry e = entry(shared_config::Entry::Kind::board, now, why);
+shared_config::ConfigEntry Conduct::move(Time now, Time wall, const Work& w, Step to,
+                                         const std::string& why) {
+  shared_config::ConfigEntry e = entry(shared_config::ConfigEntry::Kind::kStateMachine, now, why);
   Op op;
   op.at = wall, op.step = Op::Move{w.number, w.step, to};
   e.text = encode(op);
@@ -85,9 +87,10 @@
   return !(like == said);
 }
 
-std::optional<shared_config::Entry> Conduct::lead(Time now, Time wall, const shared_config::Versions& book,
-                                                  const Seen& seen) {
-  const auto* works = dynamic_cast<const Works*>(book.board().get());
+std::optional<shared_config::ConfigEntry> Conduct::lead(Time now, Time wall,
+                                                        const shared_config::VersionHistory& book,
+                                                        const Seen& seen) {
+  const auto* works = dynamic_cast<const Works*>(book.state_machine().get());
   if (!works || out_) return std::nullopt;
   waits_.clear(), stand_down_.clear();
   std::erase_if(withheld_since_, [&](const auto& w) {
@@ -95,10 +98,10 @@
     return it == works->all().end() || !it->second.takes_out();
   });
   std::erase_if(seen_at_, [&](const auto& w) { return works->all().count(w.first) == 0; });
-  std::optional<shared_config::Entry> e;
+  std::optional<shared_config::ConfigEntry> e;
   if (now >= facts_next_ && worth_saying(works->facts(), seen.facts)) {
     facts_next_ = now + terms_.facts_every;
-    e = entry(shared_config::Entry::Kind::board, now, "what is seen");
+    e = entry(shared_config::ConfigEntry::Kind::kStateMachine, now, "what is seen");
     Op op;
     op.at = wall, op.facts = seen.facts;
     e->text = encode(op);
@@ -108,49 +111,53 @@
   if (!e) e = std::move(next);
   next = advance(now, wall, book, *works, seen);
   if (!e) e = std::move(next);
-  if (!e) e = begin(now, wall, book.board(), *works);
+  if (!e) e = begin(now, wall, book.state_machine(), *works);
   out_ = e.has_value();
   return e;
 }
 
 // Ground and version follow the works: narrower first in the ground, wider first in the version.
-std::optional<shared_config::Entry> Conduct::withhold(Time now, const shared_config::Versions& book,
-                                                      const Works& works) {
+std::optional<shared_config::ConfigEntry> Conduct::withhold(Time now,
+                                                            const shared_config::VersionHistory& book,
+                                                            const Works& works) {
   const std::set<std::string> wanted = works.out_nodes(), before = works.withheld_beforehand();
-  const auto& ground = book.ground().rules->at_work;
-  const auto& newest = book.all().rbegin()->second.rules->at_work;
-  const auto& force = book.at(book.in_force())->rules->at_work;
+  const auto& ground = book.baseline().rules->endpoints_in_maintenance;
+  const auto& newest = book.versions().rbegin()->second.rules->endpoints_in_maintenance;
+  const auto& force = book.find(book.in_force())->rules->endpoints_in_maintenance;
   const auto within = [](const auto& a, const auto& b) {
     return std::includes(b.begin(), b.end(), a.begin(), a.end());
   };
-  if (!within(before, ground) && !book.ground_next()) {  // else it is being taken up
+  if (!within(before, ground) && !book.next_baseline()) {  // else it is being taken up
     std::set<std::string> both = ground;
     both.insert(before.begin(), before.end());
-    shared_config::Entry e = entry(shared_config::Entry::Kind::ground_works, now, "machines are taken out");
-    e.base = book.ground_works_from(), e.text = rules_with(both);
+    shared_config::ConfigEntry e =
+        entry(shared_config::ConfigEntry::Kind::kProposeBaselineMaintenance, now, "machines are taken out");
+    e.base = book.baseline_maintenance_version(), e.text = rules_with(both);
     return e;
   }
   if (newest != wanted && within(wanted, ground)) {
-    shared_config::Entry e = entry(shared_config::Entry::Kind::propose_works, now, "machines at work");
-    e.base = book.works_from(), e.text = rules_with(wanted);
+    shared_config::ConfigEntry e =
+        entry(shared_config::ConfigEntry::Kind::kProposeMaintenance, now, "machines at work");
+    e.base = book.maintenance_version(), e.text = rules_with(wanted);
     return e;
   }
   // Danger: the version that brings a node back is not in force yet, and the ground would go beyond the one
   // that is.
-  if (ground != before && newest == wanted && force == wanted && !book.ground_next()) {
-    shared_config::Entry e = entry(shared_config::Entry::Kind::ground_works, now, "machines are back");
-    e.base = book.ground_works_from(), e.text = rules_with(before);
+  if (ground != before && newest == wanted && force == wanted && !book.next_baseline()) {
+    shared_config::ConfigEntry e =
+        entry(shared_config::ConfigEntry::Kind::kProposeBaselineMaintenance, now, "machines are back");
+    e.base = book.baseline_maintenance_version(), e.text = rules_with(before);
     return e;
   }
   return std::nullopt;
 }
 
 // Who may still have something out at its nodes, or bring something there; empty: nobody.
-std::string Conduct::not_clear(Time now, const Work& w, const shared_config::Versions& book,
+std::string Conduct::not_clear(Time now, const Work& w, const shared_config::VersionHistory& book,
                                const Seen& seen) {
   if (w.request.nodes.empty()) return "";  // its brokers leave, which is looked at by itself
-  const auto& ground = book.ground().rules->at_work;
-  const auto& force = book.at(book.in_force())->rules->at_work;
+  const auto& ground = book.baseline().rules->endpoints_in_maintenance;
+  const auto& force = book.find(book.in_force())->rules->endpoints_in_maintenance;
   if (!holds_all(ground, w.request.nodes)) {
     withheld_since_.erase(w.number);
     return "the common ground does not withhold it yet: every broker on the roster must take that up";
@@ -163,16 +170,16 @@
   const Time spent = static_cast<Time>(static_cast<double>(terms_.longest_send) * (1 + 2 * terms_.drift));
   std::string who;
   int n = 0;
-  for (const auto& broker : book.roster()) {
+  for (const auto& broker : book.enrolled_brokers()) {
     const auto held = seen.held.find(broker);
-    const bool live = held != seen.held.end() && held->second.live(now);
+    const bool live = held != seen.held.end() && held->second.has_lease(now);
     const auto c = clears_.find(broker);
     bool clear = false;
     if (live || broker == self_) {
       // It must have said so itself, under a version without the nodes, since that is in force.
-      const shared_config::Version* acted = c == clears_.end() ? nullptr : book.at(c->second.low);
+      const shared_config::Version* acted = c == clears_.end() ? nullptr : book.find(c->second.low);
       clear = c != clears_.end() && c->second.at >= since && acted &&
-              holds_all(acted->rules->at_work, w.request.nodes) &&
+              holds_all(acted->rules->endpoints_in_maintenance, w.request.nodes) &&
               std::all_of(w.request.nodes.begin(), w.request.nodes.end(), [&](const auto& node) {
                 const auto out = c->second.out.find(node);
                 return out != c->second.out.end() && out->second == 0;
@@ -194,9 +201,10 @@
          now >= seen_at_.at(w.number).since + facts.terms.lost_after;
 }
 
-std::optional<shared_config::Entry> Conduct::advance(Time now, Time wall, const shared_config::Versions& book,
-                                                     const Works& works, const Seen& seen) {
-  std::optional<shared_config::Entry> due;
+std::optional<shared_config::ConfigEntry> Conduct::advance(Time now, Time wall,
+                                                           const shared_config::VersionHistory& book,
+                                                           const Works& works, const Seen& seen) {
+  std::optional<shared_config::ConfigEntry> due;
   const auto say = [&](const Work& w, Step to, const std::string& why) {
     if (!due) due = move(now, wall, w, to, why);
   };
@@ -232,13 +240,13 @@
           for (const auto& b : w.request.brokers) {
             const auto held = seen.held.find(b);
             const bool there =
-                b == self_ || seen.alive.count(b) || (held != seen.held.end() && held->second.live(now));
+                b == self_ || seen.alive.count(b) || (held != seen.held.end() && held->second.has_lease(now));
             if (!there) continue;
             why += (why.empty() ? "broker on it has not left: " : ", ") + b;
             // Danger: it leaves with its vote while another could take that up; the leader hands over first.
             std::size_t spare = 0;
             for (const auto& [name, h] : seen.held)
-              spare += h.may_vote && h.live(now) && !seen.voters.count(name) && !leaving.count(name);
+              spare += h.may_vote && h.has_lease(now) && !seen.voters.count(name) && !leaving.count(name);
             if (b != self_ && (!seen.voters.count(b) || spare == 0)) stand_down_.insert(b);
           }
         if (why.empty())
@@ -260,7 +268,7 @@
           waits_[n] = "whoever works on it says done";
         break;
       case Step::returning: {
-        const auto& force = book.at(book.in_force())->rules->at_work;
+        const auto& force = book.find(book.in_force())->rules->endpoints_in_maintenance;
         std::string why;
         if (holds_any(force, w.request.nodes)) why = "the version that brings it back is not in force yet";
         for (const auto& node : w.request.nodes) {
@@ -292,9 +300,9 @@
   return due;
 }
 
-std::optional<shared_config::Entry> Conduct::begin(Time now, Time wall,
-                                                   const std::shared_ptr<const shared_config::Board>& board,
-                                                   const Works& works) {
+std::optional<shared_config::ConfigEntry> Conduct::begin(
+    Time now, Time wall, const std::shared_ptr<const shared_config::ReplicatedStateMachine>& board,
+    const Works& works) {
   for (const auto& [n, w] : works.all())
     if (w.step == Step::queued && w.request.emergency && !w.held)
       return move(now, wall, w, Step::draining, "emergency");
--- a/src/maintenance/maintenance_controller.h
+++ b/src/maintenance/maintenance_controller.h
@@ -44,7 +44,7 @@
 // What the leader sees beside the log.
 struct Seen {
   Facts facts;  // terms included
-  std::map<std::string, shared_config::Leases::Held> held;
+  std::map<std::string, shared_config::LeaseManager::BrokerState> held;
   std::set<std::string> alive, voters;  // brokers; voters as the log has them now
 };
 
@@ -57,8 +57,8 @@
   void gone(const std::string& broker) { clears_.erase(broker); }
   // Where this broker leads, at every look: what to propose, if anything; then told how it ended. What was
   // taken may make the next thing due at once; what was refused waits for the next look.
-  std::optional<shared_config::Entry> lead(Time now, Time wall, const shared_config::Versions& book,
-                                           const Seen& seen);
+  std::optional<shared_config::ConfigEntry> lead(Time now, Time wall,
+                                                 const shared_config::VersionHistory& book, const Seen& seen);
   void settled(bool taken) {
     out_ = false;
     if (taken) next_ = 0;
@@ -75,17 +75,19 @@
   const std::map<std::uint64_t, std::string>& waits() const { return waits_; }
 
  private:
-  shared_config::Entry entry(shared_config::Entry::Kind kind, Time now, const std::string& why);
-  shared_config::Entry move(Time now, Time wall, const Work& work, Step to, const std::string& why);
-  std::optional<shared_config::Entry> withhold(Time now, const shared_config::Versions& book,
-                                               const Works& works);
-  std::optional<shared_config::Entry> advance(Time now, Time wall, const shared_config::Versions& book,
-                                              const Works& works, const Seen& seen);
-  std::optional<shared_config::Entry> begin(Time now, Time wall,
-                                            const std::shared_ptr<const shared_config::Board>& board,
-                                            const Works& works);
+  shared_config::ConfigEntry entry(shared_config::ConfigEntry::Kind kind, Time now, const std::string& why);
+  shared_config::ConfigEntry move(Time now, Time wall, const Work& work, Step to, const std::string& why);
+  std::optional<shared_config::ConfigEntry> withhold(Time now, const shared_config::VersionHistory& book,
+                                                     const Works& works);
+  std::optional<shared_config::ConfigEntry> advance(Time now, Time wall,
+                                                    const shared_config::VersionHistory& book,
+                                                    const Works& works, const Seen& seen);
+  std::optional<shared_config::ConfigEntry> begin(
+      Time now, Time wall, const std::shared_ptr<const shared_config::ReplicatedStateMachine>& board,
+      const Works& works);
   bool overdue(Time now, Time wall, const Work& work, Time length, const Facts& facts);
-  std::string not_clear(Time now, const Work& work, const shared_config::Versions& book, const Seen& seen);
+  std::string not_clear(Time now, const Work& work, const shared_config::VersionHistory& book,
+                        const Seen& seen);
   bool worth_saying(const Facts& said, const Facts& seen) const;
 
   ConductTerms terms_;
@@ -105,7 +107,7 @@
   std::map<std::uint64_t, std::string> waits_;
   std::set<std::string> stand_down_;
   // The plan is made anew when the works have changed, and each second for the time that has passed.
-  std::shared_ptr<const shared_config::Board> planned_for_;
+  std::shared_ptr<const shared_config::ReplicatedStateMachine> planned_for_;
   Time planned_at_ = 0;
   // Works whose turn has come and that may not begin: since when; and of them those that others pass by.
   std::map<std::uint64_t, Time> stuck_since_;
--- a/src/shared_config/endpoint_gossip.h
+++ b/src/shared_config/endpoint_gossip.h
@@ -18,60 +18,60 @@
 namespace cairnhub::shared_config {
 
 // Says that an endpoint was draining or gone as of a revision of the endpoint list.
-struct Notice {
-  std::string node;
-  Time started = 0;   // when the endpoint was started, Unix time; 0: unknown, long ago
-  bool gone = false;  // false: draining
+struct EndpointNotice {
+  std::string endpoint;
+  Time started_at = 0;   // when the endpoint was started, Unix time; 0: unknown, long ago
+  bool is_gone = false;  // false: draining
   std::uint64_t revision = 0;
-  bool operator==(const Notice&) const = default;
+  bool operator==(const EndpointNotice&) const = default;
 };
 
-class Hearsay {
+class EndpointGossip {
  public:
   // Reads the own list: one call of `begins`, one of `node` for each endpoint, one of `ends`. `whole`: the
   // list is complete, so a known endpoint that it doesn't name is gone; otherwise it holds changes only.
-  void begins(std::uint64_t revision, bool whole);
-  void node(const std::string& name, Time started, bool ready, bool gone);
+  void begin_list(std::uint64_t revision, bool whole);
+  void add_endpoint(const std::string& name, Time started, bool ready, bool gone);
   // Returns the endpoints that a complete list no longer names.
-  std::vector<std::string> ends();
+  std::vector<std::string> end_list();
   // Forgets everything: the broker now receives another list, with revisions of its own.
-  void anew();
+  void reset();
 
   // Handles a notice of another broker; returns true if it was new here and is to be passed on.
-  bool heard(const Notice& n);
+  bool handle_notice(const EndpointNotice& n);
   // Records that another broker holds a list of this revision.
-  void heard_of(std::uint64_t revision) { newest_ = std::max(newest_, revision); }
+  void note_revision(std::uint64_t revision) { newest_revision_ = std::max(newest_revision_, revision); }
 
   // True if a notice newer than the own list withholds this endpoint.
-  bool withheld(const std::string& name, Time started) const;
+  bool is_withheld(const std::string& name, Time started) const;
   // Revision of the own list.
-  std::uint64_t own() const { return own_; }
+  std::uint64_t own_revision() const { return own_revision_; }
   // The newest revision that any broker is known to hold.
-  std::uint64_t newest() const { return newest_; }
-  bool behind() const { return own_ < newest_; }
+  std::uint64_t newest_revision() const { return newest_revision_; }
+  bool is_behind() const { return own_revision_ < newest_revision_; }
   // Returns the notices that were made or received since the last call.
-  std::vector<Notice> news() { return std::exchange(news_, {}); }
-  std::vector<Notice> all() const;
+  std::vector<EndpointNotice> take_new_notices() { return std::exchange(new_notices_, {}); }
+  std::vector<EndpointNotice> notices() const;
   // Hash over all notices, independent of their order.
   std::uint64_t digest() const { return digest_; }
   // Returns the number of notices that are newer than the own list.
-  std::size_t withholding() const;
+  std::size_t withheld_count() const;
 
-  static constexpr std::size_t kMost = 4096;  // notices; the lowest revision is dropped first
+  static constexpr std::size_t kMaxNotices = 4096;  // notices; the lowest revision is dropped first
 
  private:
-  void put(const Notice& n);
-  void drop(std::map<std::string, Notice>::iterator it);
-  std::map<std::string, Notice> notices_;  // by endpoint
+  void put(const EndpointNotice& n);
+  void drop(std::map<std::string, EndpointNotice>::iterator it);
+  std::map<std::string, EndpointNotice> notices_;  // by endpoint
   struct ListedEndpoint {
     Time started;
     std::uint64_t list_number;  // the last list that named it
     bool ready;
   };
   std::map<std::string, ListedEndpoint> listed_;
-  std::vector<Notice> news_;
-  std::uint64_t own_ = 0;
-  std::uint64_t newest_ = 0;
+  std::vector<EndpointNotice> new_notices_;
+  std::uint64_t own_revision_ = 0;
+  std::uint64_t newest_revision_ = 0;
   std::uint64_t list_number_ = 0;  // counts the lists that were read
   std::uint64_t digest_ = 0;
   bool list_is_complete_ = false;
--- a/src/shared_config/log_codec.cpp
+++ b/src/shared_config/log_codec.cpp
@@ -13,15 +13,15 @@
 }
 
 std::optional<Version> take(const accord::wire::Version& v) {
-  if (v.number() == 0 || v.rules().size() > kRulesTextMost || hash_of(v.rules()) != v.hash())
+  if (v.number() == 0 || v.rules().size() > kMaxRuleSetTextBytes || content_hash(v.rules()) != v.hash())
     return std::nullopt;
   Version out;
   out.number = v.number();
   out.text = v.rules(), out.hash = v.hash(), out.who = v.who(), out.why = v.why(), out.id = v.id(),
   out.note = v.note();
   try {
-    out.rules = std::make_shared<const Rules>(parse_rules(v.rules(), "version"));
-  } catch (const RulesError&) {
+    out.rules = std::make_shared<const RuleSet>(parse_rule_set(v.rules(), "version"));
+  } catch (const RuleSetError&) {
     return std::nullopt;
   }
   return out;
--- a/src/shared_config/raft_node.cpp
+++ b/src/shared_config/raft_node.cpp
@@ -71,7 +71,7 @@
   Store& store;
   Chance chance;
   Applied applied;
-  Versions versions;
+  VersionHistory versions;
   raft_io io{};
   raft_fsm fsm{};
   raft r{};
@@ -83,7 +83,7 @@
   std::uint64_t barrier_term = 0, lead_term = 0;
   std::deque<Outgoing> out;
   std::deque<std::function<void()>> ends;  // to be told to the library
-  Verdict last;                            // of the entry applied last
+  ApplyResult last;                        // of the entry applied last
   bool change_out = false;
   // Up to where the message being answered proves that this log is the leader's. Danger: the library answers
   // with the end of its log, which may be longer by entries that an earlier leader never got committed; where
@@ -106,7 +106,7 @@
   };
 
   Impl(const EngineTerms& t, const std::string& n, Store& s, std::uint64_t seed, Applied a,
-       std::shared_ptr<const Board> board)
+       std::shared_ptr<const ReplicatedStateMachine> board)
       : terms(t), name(n), store(s), chance(seed), applied(std::move(a)), versions(std::move(board)) {}
 
   static Impl& of(raft_io* io) { return *static_cast<Impl*>(io->impl); }
@@ -182,7 +182,7 @@
       Impl& me = *static_cast<Impl*>(f->data);
       *result = nullptr;
       const auto e = decode_entry({static_cast<const char*>(b->base), b->len});
-      me.last = e ? me.versions.apply(*e) : Verdict{0, "an entry that can't be read"};
+      me.last = e ? me.versions.apply(*e) : ApplyResult{0, "an entry that can't be read"};
       *result = &me.last;
       if (e && me.applied) me.applied(*e, me.last);
       return 0;
@@ -403,7 +403,7 @@
 };
 
 Engine::Engine(const EngineTerms& terms, const std::string& name, Store& store, std::uint64_t seed,
-               Applied applied, std::shared_ptr<const Board> board)
+               Applied applied, std::shared_ptr<const ReplicatedStateMachine> board)
     : impl_(std::make_unique<Impl>(terms, name, store, seed, std::move(applied), std::move(board))) {
   Impl& m = *impl_;
   m.set_up();
@@ -469,7 +469,7 @@
   impl_->settle();
 }
 
-bool Engine::propose(Time now, const Entry& entry, Done done) {
+bool Engine::propose(Time now, const ConfigEntry& entry, Done done) {
   Impl& m = *impl_;
   m.now = now;
   if (!leads()) return false;
@@ -480,7 +480,7 @@
     const std::unique_ptr<Impl::Apply> mine(static_cast<Impl::Apply*>(req->data));
     if (!mine->done) return;
     if (how == 0 && result)
-      mine->done(*static_cast<Verdict*>(result));
+      mine->done(*static_cast<ApplyResult*>(result));
     else
       mine->done(std::nullopt);
   });
@@ -570,7 +570,7 @@
     if (v.votes) names.insert(v.name);
   return names;
 }
-const Versions& Engine::versions() const { return impl_->versions; }
+const VersionHistory& Engine::versions() const { return impl_->versions; }
 std::uint64_t Engine::applied_index() const { return impl_->r.last_applied; }
 
 namespace {
--- a/src/shared_config/raft_node.h
+++ b/src/shared_config/raft_node.h
@@ -43,9 +43,9 @@
 class Engine {
  public:
   // `applied` is told each entry, as it is applied, with what it led to.
-  using Applied = std::function<void(const Entry&, const Verdict&)>;
+  using Applied = std::function<void(const ConfigEntry&, const ApplyResult&)>;
   Engine(const EngineTerms& terms, const std::string& name, Store& store, std::uint64_t seed, Applied applied,
-         std::shared_ptr<const Board> board = nullptr);
+         std::shared_ptr<const ReplicatedStateMachine> board = nullptr);
   ~Engine();
   Engine(const Engine&) = delete;
   Engine& operator=(const Engine&) = delete;
@@ -62,8 +62,8 @@
   void turn(Time now);
 
   // `done`: the verdict, or none where the entry may or may not come in.
-  using Done = std::function<void(const std::optional<Verdict>&)>;
-  bool propose(Time now, const Entry& entry, Done done);  // false: does not lead
+  using Done = std::function<void(const std::optional<ApplyResult>&)>;
+  bool propose(Time now, const ConfigEntry& entry, Done done);  // false: does not lead
   bool add_voter(Time now, std::uint64_t id, const std::string& name);
   bool remove_voter(Time now, std::uint64_t id);
   bool changing() const;     // a change of voters is under way
@@ -76,7 +76,7 @@
   std::uint64_t id() const;
   std::vector<Voter> voters() const;
   std::set<std::string> voting() const;  // their names
-  const Versions& versions() const;
+  const VersionHistory& versions() const;
   std::uint64_t applied_index() const;
 
   // For a new store: the log's first entry names the voters.
--- a/src/shared_config/shared_config_node.cpp
+++ b/src/shared_config/shared_config_node.cpp
@@ -15,57 +15,58 @@
 
 }  // namespace
 
-Accord::Accord(const Terms& terms, const std::string& self, Store* store, Rules ground, std::uint64_t seed,
-               std::shared_ptr<const Board> board)
-    : terms_(terms),
+SharedConfigNode::SharedConfigNode(const SharedConfigSettings& terms, const std::string& self, Store* store,
+                                   RuleSet ground, std::uint64_t seed,
+                                   std::shared_ptr<const ReplicatedStateMachine> board)
+    : settings_(terms),
       self_(self),
-      chance_(seed),
-      holder_(terms.lease, std::move(ground), terms.life),
-      leases_(terms.lease) {
+      random_(seed),
+      lease_client_(terms.lease, std::move(ground), terms.incarnation),
+      lease_manager_(terms.lease) {
   if (store)
-    engine_ = std::make_unique<Engine>(
-        terms.engine, self, *store, seed + 1,
-        [this](const Entry& e, const Verdict& v) {
-          if (applied) applied(e, v);
+    raft_node_ = std::make_unique<Engine>(
+        terms.raft, self, *store, seed + 1,
+        [this](const ConfigEntry& e, const ApplyResult& v) {
+          if (on_applied) on_applied(e, v);
         },
         std::move(board));
 }
 
-Accord::~Accord() = default;
+SharedConfigNode::~SharedConfigNode() = default;
 
-void Accord::start(Time now) {
+void SharedConfigNode::start(Time now) {
   started_ = true;
-  if (engine_) {
-    engine_->start(now);
+  if (raft_node_) {
+    raft_node_->start(now);
     next_tick_ = now;
     next_voter_repair_ = now + kVoterRepairInterval;
   }
-  holder_.ask_soon(now);
+  lease_client_.request_soon(now);
   run(now);
 }
 
-Time Accord::wake() const {
+Time SharedConfigNode::next_wake() const {
   if (!started_ || leaving_) return kNever;
-  Time at = std::min(next_tick_, holder_.wake());
+  Time at = std::min(next_tick_, lease_client_.next_wake());
   for (const PendingProposal& p : pending_) at = std::min({at, p.next_try, p.deadline});
   return at;
 }
 
-void Accord::woken(Time now) {
+void SharedConfigNode::handle_wake(Time now) {
   if (!started_ || leaving_) return;
-  if (engine_ && now >= next_tick_) {
-    next_tick_ = now + terms_.engine.tick;
-    engine_->tick(now);
+  if (raft_node_ && now >= next_tick_) {
+    next_tick_ = now + settings_.raft.tick;
+    raft_node_->tick(now);
   }
-  if (now >= holder_.wake()) request_lease(now);
+  if (now >= lease_client_.next_wake()) request_lease(now);
   run(now);
 }
 
-void Accord::post(const std::string& to, const accord::wire::Packet& packet) {
+void SharedConfigNode::post(const std::string& to, const accord::wire::Packet& packet) {
   out_.push_back({to, packet.SerializeAsString()});
 }
 
-std::optional<Accord::Outgoing> Accord::send() {
+std::optional<SharedConfigNode::Outgoing> SharedConfigNode::take_message() {
   if (out_.empty()) return std::nullopt;
   auto o = std::move(out_.front());
   out_.pop_front();
@@ -74,64 +75,65 @@
 
 // Returns a broker that may be or know the leader: a configured voter or any live broker. Empty: none is
 // known.
-std::string Accord::possible_leader() {
-  if (!terms_.voters.empty() && (alive_.empty() || chance_.below(3) != 0))
-    return terms_.voters[chance_.below(terms_.voters.size())];
+std::string SharedConfigNode::possible_leader() {
+  if (!settings_.voters.empty() && (alive_.empty() || random_.below(3) != 0))
+    return settings_.voters[random_.below(settings_.voters.size())];
   if (alive_.empty()) return "";
-  return *std::next(alive_.begin(), static_cast<std::ptrdiff_t>(chance_.below(alive_.size())));
+  return *std::next(alive_.begin(), static_cast<std::ptrdiff_t>(random_.below(alive_.size())));
 }
 
-void Accord::request_lease(Time now) {
-  Ask a = holder_.ask(now);
-  a.may_vote = engine_ && !engine_->broken();
-  a.voter_id = a.may_vote ? engine_->id() : 0;
-  if (engine_ && engine_->leads()) return handle_lease_request(now, self_, a);
-  if (engine_ && !engine_->leader().empty() && engine_->leader() != self_) leader_ = engine_->leader();
+void SharedConfigNode::request_lease(Time now) {
+  LeaseRequest a = lease_client_.make_request(now);
+  a.may_vote = raft_node_ && !raft_node_->broken();
+  a.voter_id = a.may_vote ? raft_node_->id() : 0;
+  if (raft_node_ && raft_node_->leads()) return handle_lease_request(now, self_, a);
+  if (raft_node_ && !raft_node_->leader().empty() && raft_node_->leader() != self_)
+    leader_ = raft_node_->leader();
   if (leader_ == self_ || ++unanswered_requests_ > kMaxUnansweredRequests) leader_.clear();
   const std::string to = leader_.empty() ? possible_leader() : leader_;
-  if (to.empty() || to == self_) return holder_.not_there(now);
+  if (to.empty() || to == self_) return lease_client_.handle_not_leader(now);
   accord::wire::Packet p;
   auto& w = *p.mutable_ask();
   w.set_sequence(a.sequence);
-  w.set_have(a.have);
-  w.set_ground(a.ground);
-  w.set_settled(a.settled);
-  w.set_taken(a.taken);
+  w.set_have(a.newest_version);
+  w.set_ground(a.baseline);
+  w.set_settled(a.settled_baseline);
+  w.set_taken(a.current_grant);
   w.set_may_vote(a.may_vote);
   w.set_voter_id(a.voter_id);
   post(to, p);
 }
 
-void Accord::handle_lease_request(Time now, const std::string& by, const Ask& ask) {
-  if (ask.bye) return leases_.gone(by);
+void SharedConfigNode::handle_lease_request(Time now, const std::string& by, const LeaseRequest& ask) {
+  if (ask.releases_lease) return lease_manager_.release(by);
   // Only enrolled brokers get leases, as a next baseline waits for enrolled brokers only.
-  if (!engine_->versions().roster().count(by)) {
+  if (!raft_node_->versions().enrolled_brokers().count(by)) {
     if (!enrolling_.insert(by).second) return;
-    Entry e;
-    e.kind = Entry::Kind::enlist;
+    ConfigEntry e;
+    e.kind = ConfigEntry::Kind::kEnrollBroker;
     e.name = by;
-    if (!engine_->propose(now, e, [this, by](const auto&) { enrolling_.erase(by); })) enrolling_.erase(by);
+    if (!raft_node_->propose(now, e, [this, by](const auto&) { enrolling_.erase(by); })) enrolling_.erase(by);
     return;
   }
-  leases_.asked(now, by, ask);
+  lease_manager_.handle_request(now, by, ask);
   start_confirmation_round(now);
 }
 
-void Accord::start_confirmation_round(Time now) {
-  const auto round = leases_.round(now);
+void SharedConfigNode::start_confirmation_round(Time now) {
+  const auto round = lease_manager_.start_round(now);
   if (!round) return;
   accord::wire::Packet p;
-  p.mutable_confirm()->set_term(engine_->term());
+  p.mutable_confirm()->set_term(raft_node_->term());
   p.mutable_confirm()->set_round(*round);
-  for (const auto& name : engine_->voting())
+  for (const auto& name : raft_node_->voting())
     if (name != self_) post(name, p);
-  leases_.confirmed(now, self_, engine_->term(), *round, engine_->versions());
+  lease_manager_.handle_confirmation(now, self_, raft_node_->term(), *round, raft_node_->versions());
 }
 
-void Accord::send_grant(Time now, const std::string& to, const Grant& g) {
+void SharedConfigNode::send_grant(Time now, const std::string& to, const LeaseGrant& g) {
   if (to == self_) {
-    ever_answered_ = true;
-    holder_.answered(now, g);
+    has_leader_answered_ = true;
+    lease_client_.handle_grant(now, g);
     return;
   }
   accord::wire::Packet p;
@@ -141,23 +143,23 @@
   w.set_high(g.high);
   w.set_term(g.term);
   for (const Version& v : g.versions) put(v, *w.add_version());
-  if (g.ground) put(*g.ground, *w.mutable_ground());
-  if (g.ground_next) put(*g.ground_next, *w.mutable_ground_next());
+  if (g.baseline) put(*g.baseline, *w.mutable_ground());
+  if (g.next_baseline) put(*g.next_baseline, *w.mutable_ground_next());
   post(to, p);
 }
 
-void Accord::received(Time now, const std::string& from, const accord::wire::Packet& p) {
+void SharedConfigNode::handle_message(Time now, const std::string& from, const accord::wire::Packet& p) {
   if (!started_ || leaving_) return;
-  if (p.has_raft() && engine_) engine_->received(now, from, p.raft());
+  if (p.has_raft() && raft_node_) raft_node_->received(now, from, p.raft());
   if (p.has_ask()) {
-    if (engine_ && engine_->leads()) {
+    if (raft_node_ && raft_node_->leads()) {
       handle_lease_request(now, from,
                            {p.ask().sequence(), p.ask().taken(), p.ask().have(), p.ask().ground(),
                             p.ask().settled(), p.ask().may_vote(), p.ask().bye(), p.ask().voter_id()});
     } else if (!p.ask().bye()) {
       accord::wire::Packet back;
       back.mutable_redirect()->set_sequence(p.ask().sequence());
-      const std::string known = engine_ && !engine_->leader().empty() ? engine_->leader() : leader_;
+      const std::string known = raft_node_ && !raft_node_->leader().empty() ? raft_node_->leader() : leader_;
       back.mutable_redirect()->set_leader(known == from ? "" : known);
       post(from, back);
     }
@@ -165,39 +167,40 @@
   if (p.has_redirect()) {
     leader_ = p.redirect().leader() == self_ ? "" : p.redirect().leader();
     unanswered_requests_ = 0;
-    holder_.not_there(now);
+    lease_client_.handle_not_leader(now);
     for (PendingProposal& pending : pending_)
-      pending.next_try = std::min(pending.next_try, now + terms_.lease.ask_again() / 8);
+      pending.next_try = std::min(pending.next_try, now + settings_.lease.retry_interval() / 8);
   }
   if (p.has_grant()) {
     const auto& w = p.grant();
     if (w.sequence() == 0) {
-      holder_.ask_soon(now);  // not a grant: the leader has something new
+      lease_client_.request_soon(now);  // not a grant: the leader has something new
     } else {
-      Grant g;
+      LeaseGrant g;
       g.sequence = w.sequence();
       g.low = w.low();
       g.high = w.high();
       g.term = w.term();
-      bool is_valid = w.high() >= w.low() && w.high() - w.low() <= Versions::kWaiting;
+      bool is_valid = w.high() >= w.low() && w.high() - w.low() <= VersionHistory::kMaxPendingVersions;
       for (const auto& v : w.version()) {
         auto version = take(v);
         is_valid = is_valid && version;
         if (version) g.versions.push_back(std::move(*version));
       }
-      if (w.has_ground()) is_valid = is_valid && (g.ground = take(w.ground()));
-      if (w.has_ground_next()) is_valid = is_valid && (g.ground_next = take(w.ground_next()));
-      if (is_valid && holder_.answered(now, g)) {
+      if (w.has_ground()) is_valid = is_valid && (g.baseline = take(w.ground()));
+      if (w.has_ground_next()) is_valid = is_valid && (g.next_baseline = take(w.ground_next()));
+      if (is_valid && lease_client_.handle_grant(now, g)) {
         leader_ = from;
         unanswered_requests_ = 0;
-        ever_answered_ = true;
+        has_leader_answered_ = true;
       }
     }
   }
-  if (p.has_confirm() && engine_ && !engine_->broken()) {
+  if (p.has_confirm() && raft_node_ && !raft_node_->broken()) {
     if (p.confirm().back()) {
-      leases_.confirmed(now, from, p.confirm().term(), p.confirm().round(), engine_->versions());
-    } else if (engine_->term() == p.confirm().term()) {
+      lease_manager_.handle_confirmation(now, from, p.confirm().term(), p.confirm().round(),
+                                         raft_node_->versions());
+    } else if (raft_node_->term() == p.confirm().term()) {
       accord::wire::Packet back = p;
       back.mutable_confirm()->set_back(true);
       post(from, back);
@@ -205,27 +208,28 @@
   }
   if (p.has_proposal()) {
     const auto e = decode_entry(p.proposal().entry());
-    if (e && engine_ && engine_->leads()) {
-      engine_->propose(now, *e, [this, from, id = e->id](const std::optional<Verdict>& v) {
+    if (e && raft_node_ && raft_node_->leads()) {
+      raft_node_->propose(now, *e, [this, from, id = e->id](const std::optional<ApplyResult>& v) {
         if (!v) return;  // the entry may or may not be committed: the proposer repeats it
         accord::wire::Packet back;
         back.mutable_verdict()->set_id(id);
         back.mutable_verdict()->set_number(v->number);
-        back.mutable_verdict()->set_refused(v->refused);
+        back.mutable_verdict()->set_refused(v->rejection);
         post(from, back);
       });
     } else if (e) {
       accord::wire::Packet back;
-      back.mutable_redirect()->set_leader(engine_ && engine_->leader() != from ? engine_->leader() : leader_);
+      back.mutable_redirect()->set_leader(raft_node_ && raft_node_->leader() != from ? raft_node_->leader()
+                                                                                     : leader_);
       post(from, back);
     }
   }
   if (p.has_verdict())
-    finish_proposal(p.verdict().id(), Verdict{p.verdict().number(), p.verdict().refused()});
+    finish_proposal(p.verdict().id(), ApplyResult{p.verdict().number(), p.verdict().refused()});
   run(now);
 }
 
-void Accord::finish_proposal(const std::string& id, const std::optional<Verdict>& result) {
+void SharedConfigNode::finish_proposal(const std::string& id, const std::optional<ApplyResult>& result) {
   const auto it = std::find_if(pending_.begin(), pending_.end(),
                                [&](const PendingProposal& p) { return p.entry.id == id; });
   if (it == pending_.end()) return;
@@ -234,13 +238,13 @@
   done(result);
 }
 
-void Accord::propose(Time now, Entry entry, Done done) {
+void SharedConfigNode::propose(Time now, ConfigEntry entry, Done done) {
   if (pending_.size() >= kMaxPendingProposals) return done(std::nullopt);
-  pending_.push_back({std::move(entry), std::move(done), now + terms_.propose_within, now});
+  pending_.push_back({std::move(entry), std::move(done), now + settings_.proposal_timeout, now});
   run(now);
 }
 
-void Accord::forward_proposals(Time now) {
+void SharedConfigNode::forward_proposals(Time now) {
   std::vector<std::string> expired;
   for (std::size_t i = 0; i < pending_.size(); ++i) {
     PendingProposal& p = pending_[i];
@@ -249,16 +253,16 @@
       continue;
     }
     if (now < p.next_try) continue;
-    p.next_try = now + terms_.lease.ask_again();
-    if (engine_ && engine_->leads()) {
+    p.next_try = now + settings_.lease.retry_interval();
+    if (raft_node_ && raft_node_->leads()) {
       const std::string id = p.entry.id;
-      const Entry entry = p.entry;  // the element may move while it is proposed
-      engine_->propose(now, entry, [this, id](const std::optional<Verdict>& v) {
+      const ConfigEntry entry = p.entry;  // the element may move while it is proposed
+      raft_node_->propose(now, entry, [this, id](const std::optional<ApplyResult>& v) {
         if (v) finish_proposal(id, v);
       });
       continue;
     }
-    if (engine_ && !engine_->leader().empty()) leader_ = engine_->leader();
+    if (raft_node_ && !raft_node_->leader().empty()) leader_ = raft_node_->leader();
     const std::string to = leader_.empty() || leader_ == self_ ? possible_leader() : leader_;
     if (to.empty() || to == self_) continue;
     accord::wire::Packet packet;
@@ -269,56 +273,56 @@
 }
 
 // Does the leader's work: starts its term, puts versions and baselines into effect, announces changes.
-void Accord::do_leader_work(Time now) {
-  const bool leads = engine_ && engine_->leads();
+void SharedConfigNode::do_leader_work(Time now) {
+  const bool leads = raft_node_ && raft_node_->leads();
   if (!leads) {
     if (was_leader_) {
-      leases_.leads_no_more();
+      lease_manager_.stop_leading();
       was_leader_ = false;
       enrolling_.clear();
-      force_in_progress_ = false;
-      ground_in_progress_ = false;
+      activation_in_progress_ = false;
+      baseline_activation_in_progress_ = false;
     }
     return;
   }
-  if (!was_leader_ || led_term_ != engine_->term()) {
+  if (!was_leader_ || led_term_ != raft_node_->term()) {
     was_leader_ = true;
-    led_term_ = engine_->term();
+    led_term_ = raft_node_->term();
     enrolling_.clear();
-    force_in_progress_ = false;
-    ground_in_progress_ = false;
-    announced_versions_ = engine_->versions().newest();
-    leases_.leads(now, led_term_, engine_->voting(), self_);
-    holder_.ask_soon(now);
+    activation_in_progress_ = false;
+    baseline_activation_in_progress_ = false;
+    announced_versions_ = raft_node_->versions().newest();
+    lease_manager_.start_term(now, led_term_, raft_node_->voting(), self_);
+    lease_client_.request_soon(now);
   }
-  leases_.voters(engine_->voting());
-  const Versions& versions = engine_->versions();
-  if (const auto n = leases_.may_force(now, versions); n && !force_in_progress_) {
-    Entry e;
-    e.kind = Entry::Kind::force;
+  lease_manager_.set_voters(raft_node_->voting());
+  const VersionHistory& versions = raft_node_->versions();
+  if (const auto n = lease_manager_.activatable_version(now, versions); n && !activation_in_progress_) {
+    ConfigEntry e;
+    e.kind = ConfigEntry::Kind::kActivateVersion;
     e.number = n;
-    force_in_progress_ = true;
-    if (!engine_->propose(now, e, [this](const auto&) { force_in_progress_ = false; }))
-      force_in_progress_ = false;
+    activation_in_progress_ = true;
+    if (!raft_node_->propose(now, e, [this](const auto&) { activation_in_progress_ = false; }))
+      activation_in_progress_ = false;
   }
-  if (!ground_in_progress_ && leases_.may_force_ground(versions)) {
-    Entry e;
-    e.kind = Entry::Kind::force_ground;
-    e.number = versions.ground_next()->number;
-    ground_in_progress_ = true;
-    if (!engine_->propose(now, e, [this](const auto&) { ground_in_progress_ = false; }))
-      ground_in_progress_ = false;
+  if (!baseline_activation_in_progress_ && lease_manager_.may_activate_baseline(versions)) {
+    ConfigEntry e;
+    e.kind = ConfigEntry::Kind::kActivateBaseline;
+    e.number = versions.next_baseline()->number;
+    baseline_activation_in_progress_ = true;
+    if (!raft_node_->propose(now, e, [this](const auto&) { baseline_activation_in_progress_ = false; }))
+      baseline_activation_in_progress_ = false;
   }
-  const std::uint64_t ground = versions.ground().number * 2 + (versions.ground_next() ? 1 : 0);
+  const std::uint64_t ground = versions.baseline().number * 2 + (versions.next_baseline() ? 1 : 0);
   const std::uint64_t newest = versions.newest() + versions.in_force();
-  if (newest != announced_versions_ || ground != announced_ground_) {
+  if (newest != announced_versions_ || ground != announced_baseline_) {
     announced_versions_ = newest;
-    announced_ground_ = ground;
+    announced_baseline_ = ground;
     accord::wire::Packet news;
     news.mutable_grant()->set_sequence(0);
-    for (const auto& [name, held] : leases_.held())
-      if (name != self_ && held.live(now)) post(name, news);
-    holder_.ask_soon(now);
+    for (const auto& [name, held] : lease_manager_.brokers())
+      if (name != self_ && held.has_lease(now)) post(name, news);
+    lease_client_.request_soon(now);
   }
   if (now >= next_voter_repair_) {
     next_voter_repair_ = now + kVoterRepairInterval;
@@ -328,69 +332,69 @@
 
 // Replaces lost and retiring voters by other brokers that may vote, one change at a time. The new voter joins
 // before the old one is removed, so that a replacement never reduces the number of voters in between.
-void Accord::repair_voters(Time now) {
-  if (engine_->changing()) return;
-  const auto voters = engine_->voters();
+void SharedConfigNode::repair_voters(Time now) {
+  if (raft_node_->changing()) return;
+  const auto voters = raft_node_->voters();
   std::size_t voting = 0;
   std::vector<const Voter*> lost;
   for (const Voter& v : voters) {
-    if (v.name == self_ && v.id == engine_->id()) {
+    if (v.name == self_ && v.id == raft_node_->id()) {
       ++voting;
       continue;
     }
-    const auto held = leases_.held().find(v.name);
+    const auto held = lease_manager_.brokers().find(v.name);
     const bool other_store =
-        held != leases_.held().end() && held->second.voter_id != 0 && held->second.voter_id != v.id;
+        held != lease_manager_.brokers().end() && held->second.voter_id != 0 && held->second.voter_id != v.id;
     const auto dead = dead_since_.find(v.name);
-    const bool gone = dead != dead_since_.end() && now - dead->second >= terms_.replace_after;
+    const bool gone = dead != dead_since_.end() && now - dead->second >= settings_.voter_replacement_delay;
     if (!v.votes) {  // a new voter that is still catching up
       if (other_store || gone)
-        engine_->remove_voter(now, v.id);
+        raft_node_->remove_voter(now, v.id);
       else
-        engine_->add_voter(now, v.id, v.name);
+        raft_node_->add_voter(now, v.id, v.name);
       return;
     }
     ++voting;
     if (other_store || gone || retiring_.count(v.name)) lost.push_back(&v);
   }
   if (retiring_.count(self_) && voting > 1) {
-    engine_->hand_over(now);
+    raft_node_->hand_over(now);
     return;
   }
   if (lost.empty()) return;
-  const std::size_t wanted = terms_.voters.size();
+  const std::size_t wanted = settings_.voters.size();
   if (voting > wanted) {
-    engine_->remove_voter(now, lost.front()->id);
+    raft_node_->remove_voter(now, lost.front()->id);
     return;
   }
-  for (const auto& [name, held] : leases_.held()) {
-    if (!held.may_vote || held.voter_id == 0 || !held.live(now) || retiring_.count(name)) continue;
+  for (const auto& [name, held] : lease_manager_.brokers()) {
+    if (!held.may_vote || held.voter_id == 0 || !held.has_lease(now) || retiring_.count(name)) continue;
     const auto id = held.voter_id;
     if (std::any_of(voters.begin(), voters.end(), [id](const Voter& v) { return v.id == id; })) continue;
-    engine_->add_voter(now, id, name);
+    raft_node_->add_voter(now, id, name);
     return;
   }
 }
 
-void Accord::run(Time now) {
+void SharedConfigNode::run(Time now) {
   // One step may enable another: repeat until nothing changes.
   for (int i = 0; i < 64; ++i) {
     const auto before = out_.size();
-    const auto answers_before = ever_answered_;
-    if (engine_) {
-      engine_->turn(now);
+    const auto answers_before = has_leader_answered_;
+    if (raft_node_) {
+      raft_node_->turn(now);
       do_leader_work(now);
-      if (was_leader_ && engine_->leads()) start_confirmation_round(now);
-      for (auto& g : leases_.granted()) send_grant(now, g.to, g.grant);
-      while (auto o = engine_->send()) out_.push_back({o->to, std::move(o->bytes)});
+      if (was_leader_ && raft_node_->leads()) start_confirmation_round(now);
+      for (auto& g : lease_manager_.take_grants()) send_grant(now, g.to, g.grant);
+      while (auto o = raft_node_->send()) out_.push_back({o->to, std::move(o->bytes)});
     }
-    if (!leaving_ && now >= holder_.wake()) request_lease(now);
+    if (!leaving_ && now >= lease_client_.next_wake()) request_lease(now);
     forward_proposals(now);
-    if (out_.size() == before && answers_before == ever_answered_) break;
+    if (out_.size() == before && answers_before == has_leader_answered_) break;
   }
 }
 
-void Accord::peer(Time now, const std::string& name, bool alive) {
+void SharedConfigNode::update_peer(Time now, const std::string& name, bool alive) {
   if (alive) {
     alive_.insert(name);
     dead_since_.erase(name);
@@ -400,51 +404,51 @@
   }
 }
 
-void Accord::leave(Time now) {
+void SharedConfigNode::leave(Time now) {
   if (!started_ || leaving_) return;
-  if (engine_ && engine_->leads()) {
-    leases_.gone(self_);
-    engine_->hand_over(now);
+  if (raft_node_ && raft_node_->leads()) {
+    lease_manager_.release(self_);
+    raft_node_->hand_over(now);
   } else if (!leader_.empty()) {
     accord::wire::Packet p;
     p.mutable_ask()->set_bye(true);
     post(leader_, p);
   }
-  holder_.handed_back();
+  lease_client_.release();
   run(now);
   leaving_ = true;
 }
 
-std::vector<Version> Accord::history() const {
+std::vector<Version> SharedConfigNode::history() const {
   std::vector<Version> all;
-  if (engine_ && engine_->applied_index() > 0)
-    for (const auto& [n, v] : engine_->versions().all()) all.push_back(v);
+  if (raft_node_ && raft_node_->applied_index() > 0)
+    for (const auto& [n, v] : raft_node_->versions().versions()) all.push_back(v);
   else
-    for (const auto& [n, v] : holder_.versions()) all.push_back(v);
+    for (const auto& [n, v] : lease_client_.versions()) all.push_back(v);
   return all;
 }
 
-Status Accord::status(Time now) const {
-  Status s;
-  s.acting = *holder_.acting(now);
-  s.lease_left = std::max<Time>(0, holder_.until() - now);
-  s.leader = engine_ && engine_->leads()             ? self_
-             : engine_ && !engine_->leader().empty() ? engine_->leader()
-                                                     : leader_;
-  s.have = holder_.have();
-  s.ground = holder_.ground().number;
-  s.ground_next = holder_.ground_next() ? holder_.ground_next()->number : 0;
-  if (engine_) {
-    s.term = engine_->term();
-    s.leads = engine_->leads();
-    s.store_failed = engine_->broken();
-    s.newest = engine_->versions().newest();
-    s.in_force = engine_->versions().in_force();
-    s.voters = engine_->voters();
-    for (const Voter& v : s.voters) s.votes = s.votes || (v.id == engine_->id() && v.votes);
-    if (s.leads) {
-      s.force_waits_for = leases_.waits_for(now, engine_->versions());
-      s.ground_waits_for = leases_.ground_waits_for(engine_->versions());
+SharedConfigStatus SharedConfigNode::status(Time now) const {
+  SharedConfigStatus s;
+  s.active_config = *lease_client_.active_config(now);
+  s.lease_remaining = std::max<Time>(0, lease_client_.lease_expires_at() - now);
+  s.leader = raft_node_ && raft_node_->leads()             ? self_
+             : raft_node_ && !raft_node_->leader().empty() ? raft_node_->leader()
+                                                           : leader_;
+  s.newest_held = lease_client_.newest_version();
+  s.baseline = lease_client_.baseline().number;
+  s.next_baseline = lease_client_.next_baseline() ? lease_client_.next_baseline()->number : 0;
+  if (raft_node_) {
+    s.term = raft_node_->term();
+    s.is_leader = raft_node_->leads();
+    s.has_store_failed = raft_node_->broken();
+    s.newest = raft_node_->versions().newest();
+    s.in_force = raft_node_->versions().in_force();
+    s.voters = raft_node_->voters();
+    for (const Voter& v : s.voters) s.is_voter = s.is_voter || (v.id == raft_node_->id() && v.votes);
+    if (s.is_leader) {
+      s.brokers_delaying_version = lease_manager_.brokers_delaying_version(now, raft_node_->versions());
+      s.brokers_delaying_baseline = lease_manager_.brokers_delaying_baseline(raft_node_->versions());
     }
   }
   return s;
--- a/src/shared_config/version_history.cpp
+++ b/src/shared_config/version_history.cpp
@@ -8,22 +8,22 @@
 
 namespace {
 
-Version make_version(std::uint64_t number, Rules rules, const Entry& e) {
+Version make_version(std::uint64_t number, RuleSet rules, const ConfigEntry& e) {
   Version v;
   v.number = number;
-  v.text = text_of(rules);
-  v.hash = hash_of(v.text);
+  v.text = canonical_text(rules);
+  v.hash = content_hash(v.text);
   v.who = e.who;
   v.why = e.why;
   v.id = e.id;
   v.note = e.note;
-  v.rules = std::make_shared<const Rules>(std::move(rules));
+  v.rules = std::make_shared<const RuleSet>(std::move(rules));
   return v;
 }
 
 }  // namespace
 
-std::string encode(const Entry& entry) {
+std::string encode(const ConfigEntry& entry) {
   accord::wire::Entry e;
   e.set_kind(static_cast<std::uint32_t>(entry.kind));
   if (!entry.id.empty()) e.set_id(entry.id);
@@ -37,218 +37,222 @@
   return e.SerializeAsString();
 }
 
-std::optional<Entry> decode_entry(std::string_view bytes) {
+std::optional<ConfigEntry> decode_entry(std::string_view bytes) {
   accord::wire::Entry e;
   if (!e.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return std::nullopt;
-  if (e.kind() < 1 || e.kind() > static_cast<std::uint32_t>(Entry::Kind::board)) return std::nullopt;
-  if (e.rules().size() > kRulesTextMost || e.who().size() > 256 || e.why().size() > 1024 ||
+  if (e.kind() < 1 || e.kind() > static_cast<std::uint32_t>(ConfigEntry::Kind::kStateMachine))
+    return std::nullopt;
+  if (e.rules().size() > kMaxRuleSetTextBytes || e.who().size() > 256 || e.why().size() > 1024 ||
       e.id().size() > 64 || e.name().size() > 64 || e.note().size() > 8192)
     return std::nullopt;
-  return Entry{static_cast<Entry::Kind>(e.kind()),
-               e.id(),
-               e.rules(),
-               e.who(),
-               e.why(),
-               e.name(),
-               e.note(),
-               e.base(),
-               e.number()};
+  return ConfigEntry{static_cast<ConfigEntry::Kind>(e.kind()),
+                     e.id(),
+                     e.rules(),
+                     e.who(),
+                     e.why(),
+                     e.name(),
+                     e.note(),
+                     e.base(),
+                     e.number()};
 }
 
-Versions::Versions(std::shared_ptr<const Board> board) : board_(std::move(board)) {
-  Entry first;
+VersionHistory::VersionHistory(std::shared_ptr<const ReplicatedStateMachine> board)
+    : state_machine_(std::move(board)) {
+  ConfigEntry first;
   first.who = "cairnhub";
   first.why = "what the platform's settings allow";
-  versions_[1] = make_version(1, Rules{}, first);
-  ground_ = versions_[1];
+  versions_[1] = make_version(1, RuleSet{}, first);
+  baseline_ = versions_[1];
 }
 
-const Version* Versions::at(std::uint64_t number) const {
+const Version* VersionHistory::find(std::uint64_t number) const {
   const auto it = versions_.find(number);
   return it == versions_.end() ? nullptr : &it->second;
 }
 
-Verdict Versions::apply(const Entry& e) {
+ApplyResult VersionHistory::apply(const ConfigEntry& e) {
   switch (e.kind) {
-    case Entry::Kind::propose:
-    case Entry::Kind::propose_ground:
-    case Entry::Kind::propose_zones:
-    case Entry::Kind::propose_works:
-    case Entry::Kind::ground_works:
-    case Entry::Kind::board:
-    case Entry::Kind::order: {
+    case ConfigEntry::Kind::kProposeVersion:
+    case ConfigEntry::Kind::kProposeBaseline:
+    case ConfigEntry::Kind::kProposeZoneShares:
+    case ConfigEntry::Kind::kProposeMaintenance:
+    case ConfigEntry::Kind::kProposeBaselineMaintenance:
+    case ConfigEntry::Kind::kStateMachine:
+    case ConfigEntry::Kind::kSetZoneOrder: {
       // A proposer that got no answer repeats its proposal, which must not become two versions.
-      for (const auto& [id, number] : seen_)
+      for (const auto& [id, number] : recent_proposals_)
         if (id == e.id) return {number, number ? "" : "this proposal was rejected before"};
-      const Verdict v = e.kind == Entry::Kind::order            ? set_zone_order(e)
-                        : e.kind == Entry::Kind::board          ? apply_to_board(e)
-                        : e.kind == Entry::Kind::propose_ground ? propose_ground(e)
-                        : e.kind == Entry::Kind::ground_works   ? propose_ground(e)
-                                                                : propose(e);
-      if (!e.id.empty()) seen_.emplace_back(e.id, v.number);
-      if (seen_.size() > kSeen) seen_.pop_front();
+      const ApplyResult v = e.kind == ConfigEntry::Kind::kSetZoneOrder      ? set_zone_order(e)
+                            : e.kind == ConfigEntry::Kind::kStateMachine    ? apply_to_state_machine(e)
+                            : e.kind == ConfigEntry::Kind::kProposeBaseline ? propose_baseline(e)
+                            : e.kind == ConfigEntry::Kind::kProposeBaselineMaintenance ? propose_baseline(e)
+                                                                                       : propose(e);
+      if (!e.id.empty()) recent_proposals_.emplace_back(e.id, v.number);
+      if (recent_proposals_.size() > kMaxProposalIds) recent_proposals_.pop_front();
       return v;
     }
-    case Entry::Kind::force:
+    case ConfigEntry::Kind::kActivateVersion:
       if (e.number <= in_force_ || !versions_.count(e.number))
         return {0, "version " + std::to_string(e.number) + " doesn't wait for force"};
       in_force_ = e.number;
       drop_old_versions();
       return {e.number, ""};
-    case Entry::Kind::force_ground:
-      if (!ground_next_ || ground_next_->number != e.number)
+    case ConfigEntry::Kind::kActivateBaseline:
+      if (!next_baseline_ || next_baseline_->number != e.number)
         return {0, "ground " + std::to_string(e.number) + " is not the next ground"};
-      ground_ = std::move(*ground_next_);
-      ground_next_.reset();
+      baseline_ = std::move(*next_baseline_);
+      next_baseline_.reset();
       return {e.number, ""};
-    case Entry::Kind::enlist:
-      if (roster_.size() >= kRoster)
-        return {0, "the roster is full: at most " + std::to_string(kRoster) + " brokers"};
-      roster_.insert(e.name);
+    case ConfigEntry::Kind::kEnrollBroker:
+      if (enrolled_brokers_.size() >= kMaxBrokers)
+        return {0, "the roster is full: at most " + std::to_string(kMaxBrokers) + " brokers"};
+      enrolled_brokers_.insert(e.name);
       return {1, ""};
-    case Entry::Kind::strike:
-      if (roster_.erase(e.name) == 0) return {0, "broker \"" + e.name + "\" is not on the roster"};
+    case ConfigEntry::Kind::kRemoveBroker:
+      if (enrolled_brokers_.erase(e.name) == 0) return {0, "broker \"" + e.name + "\" is not on the roster"};
       return {1, ""};
   }
   return {0, "unknown kind of entry"};
 }
 
-Verdict Versions::set_zone_order(const Entry& e) {
+ApplyResult VersionHistory::set_zone_order(const ConfigEntry& e) {
   if (e.name.empty()) return {0, "the order names no zone"};
   if (e.text.empty()) {
-    if (orders_.erase(e.name) == 0) return {0, "nothing is ordered of zone \"" + e.name + "\""};
+    if (zone_orders_.erase(e.name) == 0) return {0, "nothing is ordered of zone \"" + e.name + "\""};
     return {1, ""};
   }
   if (e.text != "evacuate" && e.text != "hold")
     return {0, "order is \"" + e.text + "\"; allowed is evacuate or hold"};
-  if (orders_.size() >= kOrders && !orders_.count(e.name))
-    return {0, "too many zone orders: at most " + std::to_string(kOrders)};
-  orders_[e.name] = {e.text, e.who, e.why};
+  if (zone_orders_.size() >= kMaxZoneOrders && !zone_orders_.count(e.name))
+    return {0, "too many zone orders: at most " + std::to_string(kMaxZoneOrders)};
+  zone_orders_[e.name] = {e.text, e.who, e.why};
   return {1, ""};
 }
 
-Verdict Versions::apply_to_board(const Entry& e) {
-  if (!board_) return {0, "this log carries no entries of that kind"};
-  std::shared_ptr<const Board> next;
-  const Verdict v = board_->apply(e, next);
-  if (next) board_ = std::move(next);
+ApplyResult VersionHistory::apply_to_state_machine(const ConfigEntry& e) {
+  if (!state_machine_) return {0, "this log carries no entries of that kind"};
+  std::shared_ptr<const ReplicatedStateMachine> next;
+  const ApplyResult v = state_machine_->apply(e, next);
+  if (next) state_machine_ = std::move(next);
   return v;
 }
 
-Verdict Versions::propose(const Entry& e) {
-  const bool zones = e.kind == Entry::Kind::propose_zones;
-  const bool works = e.kind == Entry::Kind::propose_works;
-  if (zones && e.base != zones_from_)
-    return {0, "the zone shares are those of version " + std::to_string(zones_from_) + ", not " +
+ApplyResult VersionHistory::propose(const ConfigEntry& e) {
+  const bool zones = e.kind == ConfigEntry::Kind::kProposeZoneShares;
+  const bool works = e.kind == ConfigEntry::Kind::kProposeMaintenance;
+  if (zones && e.base != zone_shares_version_)
+    return {0, "the zone shares are those of version " + std::to_string(zone_shares_version_) + ", not " +
                    std::to_string(e.base)};
-  if (works && e.base != works_from_)
-    return {0, "the nodes at work are those of version " + std::to_string(works_from_) + ", not " +
+  if (works && e.base != maintenance_version_)
+    return {0, "the nodes at work are those of version " + std::to_string(maintenance_version_) + ", not " +
                    std::to_string(e.base)};
-  if (!zones && !works && (e.base < settings_from_ || e.base > newest()))
+  if (!zones && !works && (e.base < settings_version_ || e.base > newest()))
     return {0, "the newest version is " + std::to_string(newest()) + ", not " + std::to_string(e.base) +
                    ": look and propose anew"};
-  if (newest() - in_force_ >= kWaiting)
-    return {0, std::to_string(kWaiting) + " versions wait for force already"};
-  Rules rules;
+  if (newest() - in_force_ >= kMaxPendingVersions)
+    return {0, std::to_string(kMaxPendingVersions) + " versions wait for force already"};
+  RuleSet rules;
   try {
-    rules = parse_rules(e.text, "rules");
-  } catch (const RulesError& error) {
+    rules = parse_rule_set(e.text, "rules");
+  } catch (const RuleSetError& error) {
     return {0, error.what()};
   }
   const Version& last = versions_.rbegin()->second;
-  Entry made = e;
+  ConfigEntry made = e;
   if (zones) {
-    ZoneShares shares = std::move(rules.zones);
+    ZoneShares shares = std::move(rules.zone_shares);
     rules = *last.rules;
-    rules.zones = std::move(shares);
+    rules.zone_shares = std::move(shares);
   } else if (works) {
-    std::set<std::string> nodes = std::move(rules.at_work);
+    std::set<std::string> nodes = std::move(rules.endpoints_in_maintenance);
     rules = *last.rules;
-    rules.at_work = std::move(nodes);
+    rules.endpoints_in_maintenance = std::move(nodes);
     made.note = last.note;
   } else {
     // Operators, zone failover and maintenance each own a part of the rules, and a proposal leaves the parts
     // of the others as they are. Otherwise an operator who returns to an older version would put a machine in
     // maintenance back into service.
-    if (rules.zones == ZoneShares{}) rules.zones = last.rules->zones;
-    rules.at_work = last.rules->at_work;
+    if (rules.zone_shares == ZoneShares{}) rules.zone_shares = last.rules->zone_shares;
+    rules.endpoints_in_maintenance = last.rules->endpoints_in_maintenance;
     made.note = last.note;
   }
-  for (const Version* baseline : {&ground_, ground_next_ ? &*ground_next_ : nullptr})
+  for (const Version* baseline : {&baseline_, next_baseline_ ? &*next_baseline_ : nullptr})
     if (baseline)
-      if (const std::string excess = beyond(*baseline->rules, rules); !excess.empty())
+      if (const std::string excess = first_excess(*baseline->rules, rules); !excess.empty())
         return {0,
                 "contradicts the common ground, which allows more: " + excess + "; propose a ground first"};
   const std::uint64_t number = newest() + 1;
   versions_[number] = make_version(number, std::move(rules), made);
-  (zones ? zones_from_ : works ? works_from_ : settings_from_) = number;
+  (zones ? zone_shares_version_ : works ? maintenance_version_ : settings_version_) = number;
   return {number, ""};
 }
 
-Verdict Versions::propose_ground(const Entry& e) {
-  if (ground_next_) return {0, "ground " + std::to_string(ground_next_->number) + " is still being taken up"};
-  const bool works = e.kind == Entry::Kind::ground_works;
-  if (works ? e.base != ground_works_from_ : e.base < ground_settings_from_ || e.base > ground_.number)
-    return {0, "the ground is " + std::to_string(ground_.number) + ", not " + std::to_string(e.base) +
+ApplyResult VersionHistory::propose_baseline(const ConfigEntry& e) {
+  if (next_baseline_)
+    return {0, "ground " + std::to_string(next_baseline_->number) + " is still being taken up"};
+  const bool works = e.kind == ConfigEntry::Kind::kProposeBaselineMaintenance;
+  if (works ? e.base != baseline_maintenance_version_
+            : e.base < baseline_settings_version_ || e.base > baseline_.number)
+    return {0, "the ground is " + std::to_string(baseline_.number) + ", not " + std::to_string(e.base) +
                    ": look and propose anew"};
-  Rules rules;
+  RuleSet rules;
   try {
-    rules = parse_rules(e.text, "rules");
-  } catch (const RulesError& error) {
+    rules = parse_rule_set(e.text, "rules");
+  } catch (const RuleSetError& error) {
     return {0, error.what()};
   }
   if (works) {
-    std::set<std::string> nodes = std::move(rules.at_work);
-    rules = *ground_.rules;
-    rules.at_work = std::move(nodes);
+    std::set<std::string> nodes = std::move(rules.endpoints_in_maintenance);
+    rules = *baseline_.rules;
+    rules.endpoints_in_maintenance = std::move(nodes);
   } else {
-    if (rules.zones == ZoneShares{}) rules.zones = ground_.rules->zones;
-    rules.at_work = ground_.rules->at_work;
+    if (rules.zone_shares == ZoneShares{}) rules.zone_shares = baseline_.rules->zone_shares;
+    rules.endpoints_in_maintenance = baseline_.rules->endpoints_in_maintenance;
   }
   for (auto it = versions_.lower_bound(in_force_); it != versions_.end(); ++it)
-    if (const std::string excess = beyond(rules, *it->second.rules); !excess.empty())
+    if (const std::string excess = first_excess(rules, *it->second.rules); !excess.empty())
       return {0, "allows more than version " + std::to_string(it->first) + ": " + excess};
-  ground_next_ = make_version(ground_.number + 1, std::move(rules), e);
-  (works ? ground_works_from_ : ground_settings_from_) = ground_next_->number;
-  return {ground_next_->number, ""};
+  next_baseline_ = make_version(baseline_.number + 1, std::move(rules), e);
+  (works ? baseline_maintenance_version_ : baseline_settings_version_) = next_baseline_->number;
+  return {next_baseline_->number, ""};
 }
 
-void Versions::drop_old_versions() {
-  while (versions_.size() > kKept && versions_.begin()->first + kKept <= in_force_)
+void VersionHistory::drop_old_versions() {
+  while (versions_.size() > kMaxOldVersions && versions_.begin()->first + kMaxOldVersions <= in_force_)
     versions_.erase(versions_.begin());
 }
 
-std::string Versions::snapshot() const {
+std::string VersionHistory::snapshot() const {
   accord::wire::State s;
   for (const auto& [n, v] : versions_) put(v, *s.add_version());
   s.set_in_force(in_force_);
-  put(ground_, *s.mutable_ground());
-  if (ground_next_) put(*ground_next_, *s.mutable_ground_next());
-  for (const auto& name : roster_) s.add_roster(name);
-  s.set_zones_from(zones_from_);
-  s.set_works_from(works_from_);
-  s.set_settings_from(settings_from_);
-  s.set_ground_works_from(ground_works_from_);
-  s.set_ground_settings_from(ground_settings_from_);
-  for (const auto& [zone, order] : orders_) {
+  put(baseline_, *s.mutable_ground());
+  if (next_baseline_) put(*next_baseline_, *s.mutable_ground_next());
+  for (const auto& name : enrolled_brokers_) s.add_roster(name);
+  s.set_zones_from(zone_shares_version_);
+  s.set_works_from(maintenance_version_);
+  s.set_settings_from(settings_version_);
+  s.set_ground_works_from(baseline_maintenance_version_);
+  s.set_ground_settings_from(baseline_settings_version_);
+  for (const auto& [zone, order] : zone_orders_) {
     auto* o = s.add_order();
     o->set_zone(zone);
-    o->set_what(order.what);
+    o->set_what(order.action);
     o->set_who(order.who);
     o->set_why(order.why);
   }
-  for (const auto& [id, number] : seen_) {
+  for (const auto& [id, number] : recent_proposals_) {
     s.add_seen(id);
     s.add_seen_number(number);
   }
-  if (board_) s.set_board(board_->snapshot());
+  if (state_machine_) s.set_board(state_machine_->snapshot());
   return s.SerializeAsString();
 }
 
-bool Versions::restore(std::string_view bytes) {
+bool VersionHistory::restore(std::string_view bytes) {
   accord::wire::State s;
   if (!s.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return false;
-  Versions read(board_);
+  VersionHistory read(state_machine_);
   read.versions_.clear();
   for (const auto& v : s.version()) {
     auto version = take(v);
@@ -258,19 +262,21 @@
   read.in_force_ = s.in_force();
   auto ground = take(s.ground());
   if (!ground || !read.versions_.count(read.in_force_)) return false;
-  read.ground_ = std::move(*ground);
-  if (s.has_ground_next() && !(read.ground_next_ = take(s.ground_next()))) return false;
-  read.roster_ = {s.roster().begin(), s.roster().end()};
-  read.zones_from_ = s.zones_from();
-  read.works_from_ = s.works_from();
-  read.ground_works_from_ = s.ground_works_from();
+  read.baseline_ = std::move(*ground);
+  if (s.has_ground_next() && !(read.next_baseline_ = take(s.ground_next()))) return false;
+  read.enrolled_brokers_ = {s.roster().begin(), s.roster().end()};
+  read.zone_shares_version_ = s.zones_from();
+  read.maintenance_version_ = s.works_from();
+  read.baseline_maintenance_version_ = s.ground_works_from();
   // Older releases didn't record these fields: the newest version and the baseline stand in for them.
-  read.settings_from_ = s.has_settings_from() ? s.settings_from() : read.newest();
-  read.ground_settings_from_ = s.has_ground_settings_from() ? s.ground_settings_from() : read.ground_.number;
-  for (const auto& o : s.order()) read.orders_[o.zone()] = {o.what(), o.who(), o.why()};
+  read.settings_version_ = s.has_settings_from() ? s.settings_from() : read.newest();
+  read.baseline_settings_version_ =
+      s.has_ground_settings_from() ? s.ground_settings_from() : read.baseline_.number;
+  for (const auto& o : s.order()) read.zone_orders_[o.zone()] = {o.what(), o.who(), o.why()};
   if (s.seen_size() != s.seen_number_size()) return false;
-  for (int i = 0; i < s.seen_size(); ++i) read.seen_.emplace_back(s.seen(i), s.seen_number(i));
-  if (board_ && s.has_board() && !(read.board_ = board_->restore(s.board()))) return false;
+  for (int i = 0; i < s.seen_size(); ++i) read.recent_proposals_.emplace_back(s.seen(i), s.seen_number(i));
+  if (state_machine_ && s.has_board() && !(read.state_machine_ = state_machine_->restore(s.board())))
+    return false;
   *this = std::move(read);
   return true;
 }
--- a/src/shared_config/version_history.h
+++ b/src/shared_config/version_history.h
@@ -31,25 +31,28 @@
   std::string why;
   std::string id;    // of the proposal
   std::string note;  // the data that the zone shares were computed from
-  std::shared_ptr<const Rules> rules;
+  std::shared_ptr<const RuleSet> rules;
 };
 
 // An entry of the replicated log.
-struct Entry {
+struct ConfigEntry {
   enum class Kind {
-    propose = 1,     // a new version; rejected if another proposal changed the settings since `base`
-    propose_ground,  // a new baseline; rejected if another proposal changed its settings since `base`
-    force,           // the version `number` takes effect
-    force_ground,    // the next baseline, `number`, takes effect
-    enlist,          // enrolls the broker `name`
-    strike,          // removes the broker `name`
-    propose_zones,   // the newest version with other zone shares and a note; `base` made the current shares
-    order,           // sets an operator's order on the zone `name`; an empty text clears it
-    propose_works,   // the newest version with other endpoints in maintenance; `base` made the current ones
-    ground_works,    // the baseline with other endpoints in maintenance; `base` made the current ones
-    board            // for the additional state machine
+    kProposeVersion = 1,  // a new version; rejected if another proposal changed the settings since `base`
+    kProposeBaseline,     // a new baseline; rejected if another proposal changed its settings since `base`
+    kActivateVersion,     // the version `number` takes effect
+    kActivateBaseline,    // the next baseline, `number`, takes effect
+    kEnrollBroker,        // enrolls the broker `name`
+    kRemoveBroker,        // removes the broker `name`
+    kProposeZoneShares,   // the newest version with other zone shares and a note; `base` made the current
+                          // shares
+    kSetZoneOrder,        // sets an operator's order on the zone `name`; an empty text clears it
+    kProposeMaintenance,  // the newest version with other endpoints in maintenance; `base` made the current
+                          // ones
+    kProposeBaselineMaintenance,  // the baseline with other endpoints in maintenance; `base` made the current
+                                  // ones
+    kStateMachine                 // for the additional state machine
   };
-  Kind kind = Kind::propose;
+  Kind kind = Kind::kProposeVersion;
   std::string id;    // of the proposal; an entry with a known id is applied once only
   std::string text;  // rules, a zone order or an entry of the additional state machine, by kind
   std::string who;
@@ -59,91 +62,93 @@
   std::uint64_t base = 0;
   std::uint64_t number = 0;
 };
-std::string encode(const Entry& entry);
+std::string encode(const ConfigEntry& entry);
 // Returns nothing if the bytes are malformed or a field exceeds its limit.
-std::optional<Entry> decode_entry(std::string_view bytes);
+std::optional<ConfigEntry> decode_entry(std::string_view bytes);
 
 // The result of applying an entry.
-struct Verdict {
+struct ApplyResult {
   std::uint64_t number = 0;  // the version or baseline that a proposal became; 0: rejected
-  std::string refused;       // the reason of the rejection
+  std::string rejection;     // the reason of the rejection
 };
 
 // An additional state machine that the log drives beside the versions, implemented by another package. The
 // same entries produce the same state at every voter. An instance is immutable.
-class Board {
+class ReplicatedStateMachine {
  public:
-  virtual ~Board() = default;
+  virtual ~ReplicatedStateMachine() = default;
   // Sets `next` to the state after the entry, unless the entry is rejected.
-  virtual Verdict apply(const Entry& entry, std::shared_ptr<const Board>& next) const = 0;
+  virtual ApplyResult apply(const ConfigEntry& entry,
+                            std::shared_ptr<const ReplicatedStateMachine>& next) const = 0;
   virtual std::string snapshot() const = 0;
   // Returns null if the bytes are malformed.
-  virtual std::shared_ptr<const Board> restore(std::string_view bytes) const = 0;
+  virtual std::shared_ptr<const ReplicatedStateMachine> restore(std::string_view bytes) const = 0;
 };
 
 // An operator's order on a zone; it holds until the operator clears it.
-struct Order {
-  std::string what;  // "evacuate" or "hold"
+struct ZoneOrder {
+  std::string action;  // "evacuate" or "hold"
   std::string who;
   std::string why;
 };
 
-class Versions {
+class VersionHistory {
  public:
   // `board`: the initial state of the additional state machine, if the log drives one.
-  explicit Versions(std::shared_ptr<const Board> board = nullptr);
+  explicit VersionHistory(std::shared_ptr<const ReplicatedStateMachine> board = nullptr);
 
   // Applies one entry of the log.
-  Verdict apply(const Entry& entry);
+  ApplyResult apply(const ConfigEntry& entry);
 
   std::uint64_t newest() const { return versions_.rbegin()->first; }
   std::uint64_t in_force() const { return in_force_; }
-  const std::map<std::uint64_t, Version>& all() const { return versions_; }
+  const std::map<std::uint64_t, Version>& versions() const { return versions_; }
   // Returns null if the version is unknown or has been dropped.
-  const Version* at(std::uint64_t number) const;
-  const Version& ground() const { return ground_; }
-  const std::optional<Version>& ground_next() const { return ground_next_; }
+  const Version* find(std::uint64_t number) const;
+  const Version& baseline() const { return baseline_; }
+  const std::optional<Version>& next_baseline() const { return next_baseline_; }
   // The brokers that must take up a baseline before it takes effect.
-  const std::set<std::string>& roster() const { return roster_; }
-  const std::map<std::string, Order>& orders() const { return orders_; }  // by zone
+  const std::set<std::string>& enrolled_brokers() const { return enrolled_brokers_; }
+  const std::map<std::string, ZoneOrder>& zone_orders() const { return zone_orders_; }  // by zone
   // The last version that changed the zone shares, the last that changed the endpoints in maintenance, and
   // the last baseline that changed those; 0: none.
-  std::uint64_t zones_from() const { return zones_from_; }
-  std::uint64_t works_from() const { return works_from_; }
-  std::uint64_t ground_works_from() const { return ground_works_from_; }
+  std::uint64_t zone_shares_version() const { return zone_shares_version_; }
+  std::uint64_t maintenance_version() const { return maintenance_version_; }
+  std::uint64_t baseline_maintenance_version() const { return baseline_maintenance_version_; }
 
-  const std::shared_ptr<const Board>& board() const { return board_; }
+  const std::shared_ptr<const ReplicatedStateMachine>& state_machine() const { return state_machine_; }
 
   std::string snapshot() const;
   // Replaces the state; returns false and changes nothing if the bytes are malformed.
   bool restore(std::string_view bytes);
 
-  static constexpr std::size_t kKept = 128;     // versions older than the one in force
-  static constexpr std::size_t kWaiting = 512;  // versions newer than the one in force
-  static constexpr std::size_t kSeen = 1024;    // ids of proposals
-  static constexpr std::size_t kRoster = 4096;
-  static constexpr std::size_t kOrders = 64;
+  static constexpr std::size_t kMaxOldVersions = 128;      // versions older than the one in force
+  static constexpr std::size_t kMaxPendingVersions = 512;  // versions newer than the one in force
+  static constexpr std::size_t kMaxProposalIds = 1024;     // ids of proposals
+  static constexpr std::size_t kMaxBrokers = 4096;
+  static constexpr std::size_t kMaxZoneOrders = 64;
 
  private:
-  Verdict propose(const Entry& e);
-  Verdict propose_ground(const Entry& e);
-  Verdict set_zone_order(const Entry& e);
-  Verdict apply_to_board(const Entry& e);
+  ApplyResult propose(const ConfigEntry& e);
+  ApplyResult propose_baseline(const ConfigEntry& e);
+  ApplyResult set_zone_order(const ConfigEntry& e);
+  ApplyResult apply_to_state_machine(const ConfigEntry& e);
   void drop_old_versions();
 
   std::map<std::uint64_t, Version> versions_;  // never empty: version 1 restricts nothing
   std::uint64_t in_force_ = 1;
-  Version ground_;
-  std::optional<Version> ground_next_;
-  std::set<std::string> roster_;
-  std::map<std::string, Order> orders_;
-  std::shared_ptr<const Board> board_;
-  std::uint64_t zones_from_ = 0;
-  std::uint64_t works_from_ = 0;
-  std::uint64_t ground_works_from_ = 0;
-  std::uint64_t settings_from_ = 1;                         // the last version that an operator proposed
-  std::uint64_t ground_settings_from_ = 1;                  // the last baseline that an operator proposed
-  std::deque<std::pair<std::string, std::uint64_t>> seen_;  // id and result of recent proposals, oldest first
+  Version baseline_;
+  std::optional<Version> next_baseline_;
+  std::set<std::string> enrolled_brokers_;
+  std::map<std::string, ZoneOrder> zone_orders_;
+  std::shared_ptr<const ReplicatedStateMachine> state_machine_;
+  std::uint64_t zone_shares_version_ = 0;
+  std::uint64_t maintenance_version_ = 0;
+  std::uint64_t baseline_maintenance_version_ = 0;
+  std::uint64_t settings_version_ = 1;           // the last version that an operator proposed
+  std::uint64_t baseline_settings_version_ = 1;  // the last baseline that an operator proposed
+  std::deque<std::pair<std::string, std::uint64_t>>
+      recent_proposals_;  // id and result of recent proposals, oldest first
 };
 
 }  // namespace cairnhub::shared_config
--- a/src/zone_failover/traffic_split.cpp
+++ b/src/zone_failover/traffic_split.cpp
@@ -10,7 +10,7 @@
 Filled fill(const std::vector<Place>& places, const Cut& cut, const FillTerms& terms) {
   const std::size_t n = places.size();
   Filled out;
-  out.shares.otherwise = terms.ground;
+  out.shares.default_thousandths = terms.ground;
   const double ground = terms.ground / 1000.0;
   double all = 0;
   for (const Place& p : places) all += p.wanted;
@@ -102,8 +102,9 @@
       const double share =
           (places[h].wanted > 0 ? flow[h][t] / places[h].wanted : 0) + (open(h, t) ? allowance : 0) + ground;
       // Downwards: what is rounded up by all would be more than the zone can spare.
-      out.shares.set(places[h].zone, places[t].zone,
-                     std::clamp(static_cast<int>(std::floor(1000 * share + 1e-9)), terms.ground, 1000));
+      out.shares.set_thousandths(
+          places[h].zone, places[t].zone,
+          std::clamp(static_cast<int>(std::floor(1000 * share + 1e-9)), terms.ground, 1000));
     }
   }
   return out;
--- a/src/zone_failover/zone_failover.cpp
+++ b/src/zone_failover/zone_failover.cpp
@@ -127,7 +127,7 @@
       if (it != was.end() && it->second.state == one.state && it->second.share == one.share) continue;
       why = before + name + " " + zone_failover::name_of(one.state) + " at " + std::to_string(one.share);
       const auto v = views.find(name);
-      if (const shared_config::Order* o = ordered(before + name))
+      if (const shared_config::ZoneOrder* o = ordered(before + name))
         why += ": ordered by " + o->who + ", " + o->why;
       else if (v != views.end())
         why += ": " + v->second.why;
@@ -142,9 +142,9 @@
   bool more = false;
   std::set<std::pair<std::string, std::string>> pairs;
   for (const auto* s : {&shares, &had.shares})
-    for (const auto& [pair, most] : s->most) pairs.insert(pair);
+    for (const auto& [pair, most] : s->thousandths_by_pair) pairs.insert(pair);
   for (const auto& [from, to] : pairs) {
-    const int was = had.shares.of(from, to), is = shares.of(from, to);
+    const int was = had.shares.thousandths(from, to), is = shares.thousandths(from, to);
     // What a zone can no longer spare must be taken back at once; to allow more can wait.
     if (is < was * (1 - terms_.narrower) - 10) {
       why = to + " can spare less for " + from + ": " + std::to_string(is) + " where " + std::to_string(was);
@@ -155,9 +155,9 @@
   // What is planned to go and may not go yet is being turned away.
   for (const auto& [pair, flow] : filled.flow) {
     const double needs = 1000 * flow / std::max(1.0, view_.zones[pair.first].wanted);
-    if (needs > had.shares.of(pair.first, pair.second) * (1 + terms_.narrower) + 10) {
+    if (needs > had.shares.thousandths(pair.first, pair.second) * (1 + terms_.narrower) + 10) {
       why = pair.first + " needs more of " + pair.second + ": " + std::to_string(static_cast<int>(needs)) +
-            " where " + std::to_string(had.shares.of(pair.first, pair.second));
+            " where " + std::to_string(had.shares.thousandths(pair.first, pair.second));
       return true;
     }
   }
@@ -166,9 +166,9 @@
   return true;
 }
 
-std::optional<shared_config::Entry> Zones::lead(Time now, const shared_config::Versions& book) {
-  const shared_config::Version& newest = book.all().rbegin()->second;
-  Had had{parse_note(newest.note), newest.rules->zones};
+std::optional<shared_config::ConfigEntry> Zones::lead(Time now, const shared_config::VersionHistory& book) {
+  const shared_config::Version& newest = book.versions().rbegin()->second;
+  Had had{parse_note(newest.note), newest.rules->zone_shares};
   if (!led_) {
     // Danger: a new leader that took every zone for near would bring a dead one back at once.
     led_ = true, changed_at_ = now;
@@ -182,18 +182,18 @@
     resume(courses_, had.note.zones);
     resume(regions_, had.note.regions);
   }
-  ordered_ = book.orders();
+  ordered_ = book.zone_orders();
   view_ = evidence_.look(now);
   const bool newest_in_force = book.in_force() >= newest.number;
   Note note;
   std::vector<Place> places;
   for (auto& [zone, course] : courses_) {
     const ZoneView& v = view_.zones[zone];
-    const shared_config::Order* o = ordered(zone);
+    const shared_config::ZoneOrder* o = ordered(zone);
     course.tell(now, v.look, v.bears,
-                !o                  ? Ordered::none
-                : o->what == "hold" ? Ordered::hold
-                                    : Ordered::evacuate,
+                !o                    ? Ordered::none
+                : o->action == "hold" ? Ordered::hold
+                                      : Ordered::evacuate,
                 newest_in_force && holds(had.note.zones, zone, course));
     note.zones[zone] = {course.state(), course.share()};
     // What has no holder at home goes elsewhere, however well the zone is.
@@ -203,18 +203,18 @@
   }
   look_at_regions(now, places, newest_in_force, had.note, note);
   // No table without a ground that lies within every table.
-  shared_config::Entry e;
+  shared_config::ConfigEntry e;
   e.who = "zones";
-  if (book.ground().rules->zones.otherwise > terms_.fill.ground) {
-    if (book.ground_next() || (waits_ground_ == book.ground().number && now < waits_until_)) {
+  if (book.baseline().rules->zone_shares.default_thousandths > terms_.fill.ground) {
+    if (book.next_baseline() || (waits_ground_ == book.baseline().number && now < waits_until_)) {
       why_ = "the common ground is being narrowed to what every table allows";
       return std::nullopt;
     }
-    waits_ground_ = book.ground().number, waits_until_ = now + kAgain;
-    shared_config::Rules ground = *book.ground().rules;
-    ground.zones = shared_config::ZoneShares{terms_.fill.ground, {}};
-    e.kind = shared_config::Entry::Kind::propose_ground, e.base = book.ground().number;
-    e.text = shared_config::text_of(ground), e.why = "what zones may send each other without asking";
+    waits_ground_ = book.baseline().number, waits_until_ = now + kAgain;
+    shared_config::RuleSet ground = *book.baseline().rules;
+    ground.zone_shares = shared_config::ZoneShares{terms_.fill.ground, {}};
+    e.kind = shared_config::ConfigEntry::Kind::kProposeBaseline, e.base = book.baseline().number;
+    e.text = shared_config::canonical_text(ground), e.why = "what zones may send each other without asking";
     e.id = fresh_id(now);
     return e;
   }
@@ -228,15 +228,15 @@
     return std::nullopt;  // what was proposed is on its way
   waits_on_ = newest.number, waits_until_ = now + kAgain;
   changed_at_ = now;
-  shared_config::Rules rules;
-  rules.zones = filled.shares;
-  e.kind = shared_config::Entry::Kind::propose_zones, e.base = book.zones_from();
-  e.text = shared_config::text_of(rules), e.note = text_of(note), e.why = why_ = why.substr(0, 1000);
+  shared_config::RuleSet rules;
+  rules.zone_shares = filled.shares;
+  e.kind = shared_config::ConfigEntry::Kind::kProposeZoneShares, e.base = book.zone_shares_version();
+  e.text = shared_config::canonical_text(rules), e.note = text_of(note), e.why = why_ = why.substr(0, 1000);
   e.id = fresh_id(now);
   return e;
 }
 
-const shared_config::Order* Zones::ordered(const std::string& name) const {
+const shared_config::ZoneOrder* Zones::ordered(const std::string& name) const {
   auto it = ordered_.find(name);
   if (it == ordered_.end())  // an order for its region is one for it
     if (const auto z = stated_.find(name); z != stated_.end())
@@ -272,8 +272,8 @@
               " parts a second fit into none of its zones";
     else if (known > 0)
       v.look = Look::good, v.why = "its zones bear what its brokers ask for";
-    const shared_config::Order* o = ordered(region_key(region));
-    course.tell(now, v.look, v.bears, o && o->what == "hold" ? Ordered::hold : Ordered::none,
+    const shared_config::ZoneOrder* o = ordered(region_key(region));
+    course.tell(now, v.look, v.bears, o && o->action == "hold" ? Ordered::hold : Ordered::none,
                 newest_in_force && holds(had.regions, region, course));
     note.regions[region] = {course.state(), course.share()};
   }
@@ -285,10 +285,10 @@
 
 std::string Zones::fresh_id(Time now) {
   return "zones-" +
-         shared_config::hash_of(self_ + " " + std::to_string(now) + " " + std::to_string(++proposals_));
+         shared_config::content_hash(self_ + " " + std::to_string(now) + " " + std::to_string(++proposals_));
 }
 
-std::vector<ZoneLimit> Zones::limits(const shared_config::Rules& rules, const std::string* note) const {
+std::vector<ZoneLimit> Zones::limits(const shared_config::RuleSet& rules, const std::string* note) const {
   std::vector<ZoneLimit> all;
   const std::string& region = stated_.at(terms_.home)->region;
   double out = 0;
@@ -297,8 +297,8 @@
     l.is_other_region = stated_.at(zone)->region != region;
     if (zone != terms_.home) {
       // Where no table was made yet, no more than the ground will allow.
-      const bool none = rules.zones == shared_config::ZoneShares{};
-      l.max_share = (none ? terms_.fill.ground : rules.zones.of(terms_.home, zone)) / 1000.0;
+      const bool none = rules.zone_shares == shared_config::ZoneShares{};
+      l.max_share = (none ? terms_.fill.ground : rules.zone_shares.thousandths(terms_.home, zone)) / 1000.0;
       out += l.max_share;
     }
     all.push_back(l);
@@ -317,9 +317,9 @@
   const auto add = [&](const std::string& name, const Course& course, const auto& views,
                        const std::string& key) {
     const auto v = views.find(key);
-    const shared_config::Order* o = ordered(name);
-    all.push_back(
-        {name, course.state(), course.share(), o ? o->what : "", v == views.end() ? ZoneView{} : v->second});
+    const shared_config::ZoneOrder* o = ordered(name);
+    all.push_back({name, course.state(), course.share(), o ? o->action : "",
+                   v == views.end() ? ZoneView{} : v->second});
   };
   for (const auto& [zone, course] : courses_) add(zone, course, view_.zones, zone);
   for (const auto& [region, course] : regions_) add(region_key(region), course, region_views_, region);
--- a/src/zone_failover/zone_failover.h
+++ b/src/zone_failover/zone_failover.h
@@ -82,12 +82,12 @@
   void gone(const std::string& broker) { evidence_.gone(broker); }
 
   // Where this broker leads: called after each report, answers what is to be proposed. `book`: the leader's.
-  std::optional<shared_config::Entry> lead(Time now, const shared_config::Versions& book);
+  std::optional<shared_config::ConfigEntry> lead(Time now, const shared_config::VersionHistory& book);
   void leads_no_more() { led_ = false; }
 
   // What this broker acts on: the rules, and the note of the newest version it holds a lease on; none:
   // without a lease. By number of the zones stated, its own the first.
-  std::vector<ZoneLimit> limits(const shared_config::Rules& rules, const std::string* note) const;
+  std::vector<ZoneLimit> limits(const shared_config::RuleSet& rules, const std::string* note) const;
   int number_of(const std::string& zone) const;  // one past the last where it is not stated
   const std::string& name_of(int number) const;  // empty for that one: it tells nothing of any zone
   const Terms& terms() const { return terms_; }
@@ -102,7 +102,7 @@
     shared_config::ZoneShares shares;
   };
   bool worth_it(Time now, const Had& had, const Note& note, const Filled& filled, std::string& why);
-  const shared_config::Order* ordered(const std::string& zone_or_region) const;
+  const shared_config::ZoneOrder* ordered(const std::string& zone_or_region) const;
   void look_at_regions(Time now, std::vector<Place>& places, bool newest_in_force, const Note& had,
                        Note& note);
 
@@ -116,7 +116,7 @@
   View view_;
   std::map<std::string, Course> courses_, regions_;
   std::map<std::string, ZoneView> region_views_;
-  std::map<std::string, shared_config::Order> ordered_;
+  std::map<std::string, shared_config::ZoneOrder> ordered_;
   Time next_ = 0, changed_at_ = 0;
   bool led_ = false;
   std::uint64_t proposals_ = 0, waits_on_ = 0, waits_ground_ = 0;
--- a/tests/accord.cpp
+++ b/tests/accord.cpp
@@ -12,10 +12,10 @@
 
 constexpr Time kMs = kSecond / 1000;
 
-shared_config::Terms terms_of(Time stated) {
-  shared_config::Terms t;
-  t.lease.stated = stated;
-  t.replace_after = 5 * kSecond;
+shared_config::SharedConfigSettings terms_of(Time stated) {
+  shared_config::SharedConfigSettings t;
+  t.lease.max_divergence = stated;
+  t.voter_replacement_delay = 5 * kSecond;
   return t;
 }
 
@@ -44,12 +44,12 @@
                const std::string& id = "") {
     bool done = false;
     fleet.propose(by, rules, is_ground, base, id.empty() ? "p" + std::to_string(++proposed) : id,
-                  [&](const std::optional<shared_config::Verdict>& v) {
+                  [&](const std::optional<shared_config::ApplyResult>& v) {
                     done = true;
                     number = v ? v->number : 0;
                     verdict = !v          ? "nothing heard"
                               : v->number ? "taken as " + std::to_string(v->number)
-                                          : "refused: " + v->refused;
+                                          : "refused: " + v->rejection;
                   });
     if (!done && !world.play(world.now() + 20 * kSecond, [&] { return done; })) verdict = "NO verdict";
   }
@@ -57,7 +57,8 @@
     propose(4 % static_cast<int>(fleet.all.size()), rules, true, base_ground, "");
     const bool good = world.play(world.now() + 20 * kSecond, [&] {
       for (const auto& o : fleet.all)
-        if (o.runs && (o.accord->holder().ground().number < number || o.accord->holder().ground_next()))
+        if (o.runs &&
+            (o.accord->lease_client().baseline().number < number || o.accord->lease_client().next_baseline()))
           return false;
       return true;
     });
@@ -112,13 +113,13 @@
   const Time after = s.world.now() - cut;
   std::printf("in force %s, once their leases had lapsed: %s\n",
               forced && after < 2 * kSecond ? "within the stated 2 s" : "TOO LATE",
-              after >= s.fleet.terms.lease.for_holder() * 2 / 3 ? "yes" : "NO, too soon");
+              after >= s.fleet.terms.lease.client_duration() * 2 / 3 ? "yes" : "NO, too soon");
   int on_ground = 0, serving = 0;
   for (int i = 6; i < 9; ++i) {
     auto& o = s.fleet.all[static_cast<std::size_t>(i)];
-    const auto& acting = *o.accord->acting(s.fleet.local(o));
-    on_ground += acting.low == 0 && acting.rules->of("lookup").held_most == 10;
-    serving += acting.rules->of("lookup").served;
+    const auto& acting = *o.accord->active_config(s.fleet.local(o));
+    on_ground += acting.low == 0 && acting.rules->rule_for("lookup").max_in_progress == 10;
+    serving += acting.rules->rule_for("lookup").is_served;
   }
   std::printf("of the three cut off, on the common ground %d, serving %d\n", on_ground, serving);
   s.propose(1, limit(70), false, 2);
@@ -138,7 +139,7 @@
   std::printf("another leads: %s; the old one acts on the ground: %s\n",
               s.fleet.leader() != l && s.fleet.leader() >= 0 ? "yes" : "NO", [&] {
                 auto& o = s.fleet.all[static_cast<std::size_t>(l)];
-                return o.accord->acting(s.fleet.local(o))->low == 0 ? "yes" : "NO";
+                return o.accord->active_config(s.fleet.local(o))->low == 0 ? "yes" : "NO";
               }());
   s.world.cut.clear();
   std::printf("healed, all settle: %s\n", s.settles(2) ? "yes" : "NO");
@@ -151,7 +152,7 @@
   s.world.play(s.world.now() + 5 * kSecond);
   int ground = 0;
   for (auto& o : s.fleet.all)
-    if (o.runs) ground += o.accord->acting(s.fleet.local(o))->low == 0;
+    if (o.runs) ground += o.accord->active_config(s.fleet.local(o))->low == 0;
   std::printf("two of three voters die: %d of 7 act on the ground and serve\n", ground);
   s.propose(5, limit(50), false, 1);
   std::printf("a version: %s\n", s.verdict.c_str());
@@ -167,17 +168,19 @@
   for (int k = 0; k < 40; ++k) {
     const int l = s.fleet.leader();
     if (l < 0) break;
-    const std::uint64_t base = s.fleet.all[static_cast<std::size_t>(l)].accord->engine()->versions().newest();
+    const std::uint64_t base =
+        s.fleet.all[static_cast<std::size_t>(l)].accord->raft_node()->versions().newest();
     bool told = false;
     s.fleet.propose(l, limit(20 + k), false, base, "k" + std::to_string(k),
-                    [&](const std::optional<shared_config::Verdict>& v) { told = v && v->number; });
+                    [&](const std::optional<shared_config::ApplyResult>& v) { told = v && v->number; });
     s.world.play(s.world.now() + k * 100'000);  // 0 to 4 ms
     s.fleet.kill(l);
     heard += told;
     s.world.play(s.world.now() + 5 * kSecond, [&] { return s.fleet.leader() >= 0; });
     const int next = s.fleet.leader();
     bool in = false;
-    for (const auto& [n, v] : s.fleet.all[static_cast<std::size_t>(next)].accord->engine()->versions().all())
+    for (const auto& [n, v] :
+         s.fleet.all[static_cast<std::size_t>(next)].accord->raft_node()->versions().versions())
       in = in || v.id == "k" + std::to_string(k);
     in_book += in, lost += told && !in;
     s.fleet.start(l);
@@ -197,7 +200,7 @@
   for (int k = 0; k < 100; ++k) {
     const int by = k % 9;
     s.fleet.propose(by, limit(20 + k), false, static_cast<std::uint64_t>(k) + 1, "h" + std::to_string(k),
-                    [&](const std::optional<shared_config::Verdict>& v) { taken += v && v->number; });
+                    [&](const std::optional<shared_config::ApplyResult>& v) { taken += v && v->number; });
     s.world.play(began + (k + 1) * 10 * kMs);
   }
   std::printf("100 versions in a second: taken %d; all settle on 101: %s\n", taken,
@@ -212,9 +215,9 @@
   const bool replaced = s.world.play(s.world.now() + 30 * kSecond, [&] {
     const int l = s.fleet.leader();
     if (l < 0) return false;
-    const auto votes = s.fleet.all[static_cast<std::size_t>(l)].accord->engine()->voting();
+    const auto votes = s.fleet.all[static_cast<std::size_t>(l)].accord->raft_node()->voting();
     return votes.size() == 3 && !votes.count("b1") &&
-           s.fleet.all[static_cast<std::size_t>(l)].accord->engine()->voters().size() == 3;
+           s.fleet.all[static_cast<std::size_t>(l)].accord->raft_node()->voters().size() == 3;
   });
   std::printf("b1, a voter, dies: replaced after its time: %s\n", replaced ? "yes" : "NO");
   s.propose(7, limit(50), false, 1);
@@ -235,9 +238,9 @@
   s.fleet.start(other);
   s.world.play(s.world.now() + 50 * kMs);
   std::printf("a voter's folder is lost; it comes back and votes at once: %s\n",
-              s.fleet.all[static_cast<std::size_t>(other)].accord->status(0).votes ? "YES" : "no");
+              s.fleet.all[static_cast<std::size_t>(other)].accord->status(0).is_voter ? "YES" : "no");
   const bool again = s.world.play(s.world.now() + 60 * kSecond, [&] {
-    return s.fleet.all[static_cast<std::size_t>(other)].accord->status(0).votes;
+    return s.fleet.all[static_cast<std::size_t>(other)].accord->status(0).is_voter;
   });
   std::printf("taken in as another: %s\n", again ? "yes" : "NO");
   s.propose(5, limit(50), false, 1);
@@ -264,7 +267,7 @@
   std::vector<shared_config::Voter> three;
   for (int i = 0; i < 3; ++i) three.push_back({shared_config::first_voter_id(broker(i)), broker(i), true});
   shared_config::Engine::bootstrap(store, three);
-  shared_config::Entry e;
+  shared_config::ConfigEntry e;
   e.id = "never", e.text = limit(5);
   store.set_term(2);
   store.append(2, std::vector<shared_config::LogEntry>(20, {2, 1, shared_config::encode(e)}));
@@ -297,41 +300,43 @@
 
 // A broker starts anew while what its earlier life asked is still on its way, and while it was granted.
 void two_lives(Story&) {
-  shared_config::LeaseTerms terms;
-  shared_config::Leases leader(terms);
-  shared_config::Versions book;
-  for (auto kind : {shared_config::Entry::Kind::enlist, shared_config::Entry::Kind::propose_ground}) {
-    shared_config::Entry e;
+  shared_config::LeaseSettings terms;
+  shared_config::LeaseManager leader(terms);
+  shared_config::VersionHistory book;
+  for (auto kind : {shared_config::ConfigEntry::Kind::kEnrollBroker,
+                    shared_config::ConfigEntry::Kind::kProposeBaseline}) {
+    shared_config::ConfigEntry e;
     e.kind = kind, e.name = "x", e.id = "g", e.base = 1, e.text = limit(5);
     book.apply(e);
   }
   const std::set<std::string> voters{"v"};
-  leader.leads(kSecond, 1, voters, "v");
-  const auto grants = [&](Time now, const shared_config::Ask& ask) {
-    leader.asked(now, "x", ask);
-    if (const auto r = leader.round(now)) leader.confirmed(now, "v", 1, *r, book);
-    return leader.granted();
+  leader.start_term(kSecond, 1, voters, "v");
+  const auto grants = [&](Time now, const shared_config::LeaseRequest& ask) {
+    leader.handle_request(now, "x", ask);
+    if (const auto r = leader.start_round(now)) leader.handle_confirmation(now, "v", 1, *r, book);
+    return leader.take_grants();
   };
-  shared_config::Holder first(terms, {}, 7);
-  const shared_config::Ask asked = first.ask(kSecond);
-  shared_config::Ask keeps = first.ask(kSecond);
+  shared_config::LeaseClient first(terms, {}, 7);
+  const shared_config::LeaseRequest asked = first.make_request(kSecond);
+  shared_config::LeaseRequest keeps = first.make_request(kSecond);
   const auto early = grants(kSecond, asked);
-  keeps.ground = book.ground_next()->number;  // the first life has come to keep to it
-  shared_config::Holder second(terms, {}, 9);
-  const shared_config::Ask anew = second.ask(2 * kSecond);
+  keeps.baseline = book.next_baseline()->number;  // the first life has come to keep to it
+  shared_config::LeaseClient second(terms, {}, 9);
+  const shared_config::LeaseRequest anew = second.make_request(2 * kSecond);
   std::printf("what its earlier life was granted is an answer to it: %s\n",
-              second.answered(2 * kSecond, early.front().grant) ? "YES" : "no");
+              second.handle_grant(2 * kSecond, early.front().grant) ? "YES" : "no");
   grants(2 * kSecond, keeps);
   std::printf("its earlier life kept to the ground: forced %s\n",
-              leader.may_force_ground(book) ? "yes" : "no");
+              leader.may_activate_baseline(book) ? "yes" : "no");
   grants(2 * kSecond, anew);
-  std::printf("it has asked, and keeps to none: forced %s\n", leader.may_force_ground(book) ? "YES" : "no");
+  std::printf("it has asked, and keeps to none: forced %s\n",
+              leader.may_activate_baseline(book) ? "YES" : "no");
   grants(2 * kSecond, keeps);
   std::printf("what its earlier life said comes once more: forced %s\n",
-              leader.may_force_ground(book) ? "YES" : "no");
+              leader.may_activate_baseline(book) ? "YES" : "no");
   std::printf("what it asked itself is answered: %s\n", [&] {
-    for (const auto& g : grants(2 * kSecond, second.ask(2 * kSecond)))
-      if (second.answered(2 * kSecond, g.grant)) return "yes";
+    for (const auto& g : grants(2 * kSecond, second.make_request(2 * kSecond)))
+      if (second.handle_grant(2 * kSecond, g.grant)) return "yes";
     return "NO";
   }());
 }
@@ -343,7 +348,8 @@
     const int l = s.fleet.leader();
     if (l < 0) break;
     for (int b = 0; b < 8; ++b) s.world.cut_both(8, b);
-    const std::uint64_t base = s.fleet.all[static_cast<std::size_t>(l)].accord->engine()->versions().newest();
+    const std::uint64_t base =
+        s.fleet.all[static_cast<std::size_t>(l)].accord->raft_node()->versions().newest();
     s.propose(l, limit(20 + round), false, base);
     s.world.play(s.world.now() + 3 * kSecond);
     s.world.cut.clear();
@@ -371,7 +377,7 @@
     const auto newest = [&] {
       std::uint64_t top = 1;
       for (const auto& o : f.all)
-        if (o.runs && o.accord->engine()) top = std::max(top, o.accord->engine()->versions().newest());
+        if (o.runs && o.accord->raft_node()) top = std::max(top, o.accord->raft_node()->versions().newest());
       return top;
     };
     const auto complain = [&](const char* what) {
@@ -429,14 +435,14 @@
     if (!s.world.play(s.world.now() + 10 * stated, [&] { return f.leader() >= 0; }))
       return complain("nobody leads once all is well");
     const int l = f.leader();
-    const auto& book = f.all[static_cast<std::size_t>(l)].accord->engine()->versions();
+    const auto& book = f.all[static_cast<std::size_t>(l)].accord->raft_node()->versions();
     for (const auto& [number, id] : f.told) {
-      const auto* v = book.at(number);
-      if (number + shared_config::Versions::kKept > book.in_force() && (!v || v->id != id))
+      const auto* v = book.find(number);
+      if (number + shared_config::VersionHistory::kMaxOldVersions > book.in_force() && (!v || v->id != id))
         return complain("a version that its proposer was told of is lost");
     }
     std::map<std::string, int> ids;
-    for (const auto& [number, v] : book.all())
+    for (const auto& [number, v] : book.versions())
       if (!v.id.empty() && ++ids[v.id] > 1) return complain("one proposal became two versions");
     longest = std::max(longest, f.longest), versions += book.newest();
   }
--- a/tests/cluster/shared_config_cluster.h
+++ b/tests/cluster/shared_config_cluster.h
@@ -66,7 +66,7 @@
 struct Accords {
   struct One {
     std::unique_ptr<KeptStore> store;
-    std::unique_ptr<shared_config::Accord> accord;
+    std::unique_ptr<shared_config::SharedConfigNode> accord;
     bool runs = false, paused = false;
     int life = 0, stores = 0;
     double rate = 1;  // of its clock
@@ -74,7 +74,7 @@
     std::vector<std::function<void()>> held;
   };
   Seeded& world;
-  shared_config::Terms terms;
+  shared_config::SharedConfigSettings terms;
   std::vector<One> all;
   int voters;
 
@@ -86,7 +86,7 @@
   std::uint64_t top_force = 0;
   Time forced_at = 0;  // when the newest of any broker's `low` rose last
 
-  Accords(Seeded& w, int n, int v, const shared_config::Terms& t, double drift = 0)
+  Accords(Seeded& w, int n, int v, const shared_config::SharedConfigSettings& t, double drift = 0)
       : world(w), terms(t), all(static_cast<std::size_t>(n)), voters(v) {
     for (int i = 0; i < v; ++i) terms.voters.push_back(broker(i));
     std::vector<shared_config::Voter> first;
@@ -109,16 +109,18 @@
   }
   void start(int i) {
     One& o = all[static_cast<std::size_t>(i)];
-    terms.life = static_cast<std::uint32_t>(o.life + 1);
-    o.accord = std::make_unique<shared_config::Accord>(terms, broker(i), o.store.get(),
-                                                       shared_config::Rules{}, world.chance.below(1u << 30));
-    o.accord->applied = [this, i](const shared_config::Entry&, const shared_config::Verdict&) { applied(i); };
+    terms.incarnation = static_cast<std::uint32_t>(o.life + 1);
+    o.accord = std::make_unique<shared_config::SharedConfigNode>(
+        terms, broker(i), o.store.get(), shared_config::RuleSet{}, world.chance.below(1u << 30));
+    o.accord->on_applied = [this, i](const shared_config::ConfigEntry&, const shared_config::ApplyResult&) {
+      applied(i);
+    };
     o.runs = true, ++o.life, o.woken_at = kNever;
     for (int j = 0; j < static_cast<int>(all.size()); ++j) {
-      if (j != i) o.accord->peer(local(o), broker(j), all[static_cast<std::size_t>(j)].runs);
+      if (j != i) o.accord->update_peer(local(o), broker(j), all[static_cast<std::size_t>(j)].runs);
       if (j != i && all[static_cast<std::size_t>(j)].runs)
-        all[static_cast<std::size_t>(j)].accord->peer(local(all[static_cast<std::size_t>(j)]), broker(i),
-                                                      true);
+        all[static_cast<std::size_t>(j)].accord->update_peer(local(all[static_cast<std::size_t>(j)]),
+                                                             broker(i), true);
     }
     o.accord->start(local(o));
     turn(i);
@@ -132,7 +134,7 @@
     o.held.clear(), o.paused = false;
     o.accord.reset();
     for (One& other : all)
-      if (other.runs) other.accord->peer(local(other), broker(i), false);
+      if (other.runs) other.accord->update_peer(local(other), broker(i), false);
   }
   void new_store(int i) {  // its folder is gone: a store of another identity, without a log
     One& o = all[static_cast<std::size_t>(i)];
@@ -145,7 +147,7 @@
     o.paused = false;
     for (auto& what : std::exchange(o.held, {})) what();
   }
-  void within(int i, int life, const std::function<void(shared_config::Accord&, Time)>& what) {
+  void within(int i, int life, const std::function<void(shared_config::SharedConfigNode&, Time)>& what) {
     One& o = all[static_cast<std::size_t>(i)];
     if (!o.runs || o.life != life) return;
     if (o.paused) {
@@ -158,17 +160,18 @@
   void turn(int i) {
     One& o = all[static_cast<std::size_t>(i)];
     if (!o.runs) return;
-    while (auto m = o.accord->send()) {
+    while (auto m = o.accord->take_message()) {
       const int to = std::stoi(m->to.substr(1));
       const std::size_t size = m->bytes.size() + 90;  // sealed
       world.carry(i, to, size, [this, i, to, bytes = std::move(m->bytes)] {
-        within(to, all[static_cast<std::size_t>(to)].life, [i, bytes](shared_config::Accord& a, Time now) {
-          accord::wire::Packet p;
-          if (p.ParseFromString(bytes)) a.received(now, broker(i), p);
-        });
+        within(to, all[static_cast<std::size_t>(to)].life,
+               [i, bytes](shared_config::SharedConfigNode& a, Time now) {
+                 accord::wire::Packet p;
+                 if (p.ParseFromString(bytes)) a.handle_message(now, broker(i), p);
+               });
       });
     }
-    const Time wake = o.accord->wake();
+    const Time wake = o.accord->next_wake();
     if (wake != kNever) {
       const Time at = std::max(world_time(o, wake), world.now());
       if (at < o.woken_at) {
@@ -177,17 +180,18 @@
           One& me = all[static_cast<std::size_t>(i)];
           if (me.life != life || me.woken_at != at) return;
           me.woken_at = kNever;
-          within(i, life, [](shared_config::Accord& a, Time now) { a.woken(now); });
+          within(i, life, [](shared_config::SharedConfigNode& a, Time now) { a.handle_wake(now); });
         });
       }
     }
     look();
   }
   void applied(int i) {
-    const auto* engine =
-        all[static_cast<std::size_t>(i)].accord ? all[static_cast<std::size_t>(i)].accord->engine() : nullptr;
+    const auto* engine = all[static_cast<std::size_t>(i)].accord
+                             ? all[static_cast<std::size_t>(i)].accord->raft_node()
+                             : nullptr;
     if (!engine) return;
-    for (const auto& [n, v] : engine->versions().all()) {
+    for (const auto& [n, v] : engine->versions().versions()) {
       const auto [it, fresh] = hashes.try_emplace(n, v.hash + v.id);
       if (!fresh && it->second != v.hash + v.id) ++unequal;
     }
@@ -198,7 +202,7 @@
     std::uint64_t low = 0, high = UINT64_MAX;
     for (const One& o : all) {
       if (!o.runs) continue;
-      const auto& a = *o.accord->acting(local(o));
+      const auto& a = *o.accord->active_config(local(o));
       if (a.low == 0) continue;
       low = std::max(low, a.low), high = std::min(high, a.high);
     }
@@ -212,13 +216,14 @@
   bool grounds_hold() const {
     for (const One& a : all) {
       if (!a.runs) continue;
-      const auto& mine = *a.accord->acting(local(a));
-      if (mine.low != 0 || !a.accord->ever_answered()) continue;  // it opens its door once it was answered
+      const auto& mine = *a.accord->active_config(local(a));
+      if (mine.low != 0 || !a.accord->has_leader_answered())
+        continue;  // it opens its door once it was answered
       for (const One& b : all) {
         if (!b.runs) continue;
-        const auto& theirs = *b.accord->acting(local(b));
+        const auto& theirs = *b.accord->active_config(local(b));
         if (theirs.low != 0 && theirs.low == theirs.high &&
-            !shared_config::within(*mine.rules, *theirs.rules))
+            !shared_config::is_within(*mine.rules, *theirs.rules))
           return false;
       }
     }
@@ -227,7 +232,7 @@
   int leader() const {
     for (int i = 0; i < static_cast<int>(all.size()); ++i) {
       const One& o = all[static_cast<std::size_t>(i)];
-      if (o.runs && !o.paused && o.accord->engine() && o.accord->engine()->leads()) return i;
+      if (o.runs && !o.paused && o.accord->raft_node() && o.accord->raft_node()->leads()) return i;
     }
     return -1;
   }
@@ -236,19 +241,20 @@
     std::uint64_t n = 0;
     for (const One& o : all) {
       if (!o.runs) continue;
-      const auto& a = *o.accord->acting(local(o));
+      const auto& a = *o.accord->active_config(local(o));
       if (a.low == 0 || a.low != a.high || a.low < least || (n && a.low != n)) return false;
       n = a.low;
     }
     return n != 0;
   }
   void propose(int by, const std::string& rules, bool ground, std::uint64_t base, const std::string& id,
-               std::function<void(const std::optional<shared_config::Verdict>&)> done = {}) {
-    shared_config::Entry e;
-    e.kind = ground ? shared_config::Entry::Kind::propose_ground : shared_config::Entry::Kind::propose;
+               std::function<void(const std::optional<shared_config::ApplyResult>&)> done = {}) {
+    shared_config::ConfigEntry e;
+    e.kind = ground ? shared_config::ConfigEntry::Kind::kProposeBaseline
+                    : shared_config::ConfigEntry::Kind::kProposeVersion;
     e.id = id, e.text = rules, e.who = "operator", e.why = "test", e.base = base;
-    within(by, all[static_cast<std::size_t>(by)].life, [&](shared_config::Accord& a, Time now) {
-      a.propose(now, e, [this, done, ground, id](const std::optional<shared_config::Verdict>& v) {
+    within(by, all[static_cast<std::size_t>(by)].life, [&](shared_config::SharedConfigNode& a, Time now) {
+      a.propose(now, e, [this, done, ground, id](const std::optional<shared_config::ApplyResult>& v) {
         if (v && v->number && !ground) told[v->number] = id;
         if (done) done(v);
       });
--- a/tests/cluster/work_world.h
+++ b/tests/cluster/work_world.h
@@ -61,13 +61,13 @@
     for (int b = 0; b < size.brokers; ++b) {
       Broker& x = brokers_[static_cast<std::size_t>(b)];
       x.name = "b" + std::to_string(b);
-      x.holder = std::make_unique<shared_config::Holder>(lease_terms(), shared_config::Rules{});
-      shared_config::Entry e;
-      e.kind = shared_config::Entry::Kind::enlist, e.name = x.name;
+      x.holder = std::make_unique<shared_config::LeaseClient>(lease_terms(), shared_config::RuleSet{});
+      shared_config::ConfigEntry e;
+      e.kind = shared_config::ConfigEntry::Kind::kEnrollBroker, e.name = x.name;
       book_.apply(e);
     }
     conduct_ = std::make_unique<maintenance::Conduct>(conduct_terms(), kLeader);
-    leases_.leads(now_ - 2 * kSecond, 1, {kLeader}, kLeader);
+    leases_.start_term(now_ - 2 * kSecond, 1, {kLeader}, kLeader);
     std::vector<int> order(hosts_.size());
     for (std::size_t h = 0; h < order.size(); ++h) order[h] = static_cast<int>(h);
     std::shuffle(order.begin(), order.end(), chance_);
@@ -131,13 +131,13 @@
   };
   struct Broker {
     std::string name;
-    std::unique_ptr<shared_config::Holder> holder;
+    std::unique_ptr<shared_config::LeaseClient> holder;
     std::vector<Part> out;
     std::vector<bool> gone;  // by host, as its list has it
     Time cut_until = 0, stands_until = 0, says_at = 0;
     std::uint64_t acting = 0;  // of what `barred` was made
-    const shared_config::Acting* barred_for = nullptr;
-    std::shared_ptr<const shared_config::Acting> kept;
+    const shared_config::ActiveConfig* barred_for = nullptr;
+    std::shared_ptr<const shared_config::ActiveConfig> kept;
     std::vector<bool> barred;
   };
   struct Job {
@@ -157,16 +157,16 @@
     int broker;
     bool to_leader;
     std::uint64_t term;
-    std::optional<shared_config::Ask> ask;
-    std::optional<shared_config::Grant> grant;
+    std::optional<shared_config::LeaseRequest> ask;
+    std::optional<shared_config::LeaseGrant> grant;
     std::optional<maintenance::Clear> clear;
   };
 
   unsigned below(unsigned n) { return static_cast<unsigned>(chance_() % n); }
   bool warm(const Host& h) const { return !h.started || now_ >= h.started + kWarm; }
-  static shared_config::LeaseTerms lease_terms() {
-    shared_config::LeaseTerms t;
-    t.stated = kSecond;
+  static shared_config::LeaseSettings lease_terms() {
+    shared_config::LeaseSettings t;
+    t.max_divergence = kSecond;
     return t;
   }
   maintenance::ConductTerms conduct_terms() const {
@@ -214,10 +214,10 @@
           if (!begins) break;
           Broker& b = broker(f.whom);
           shared_config::Version ground;
-          ground = b.holder->ground();
-          ground.rules = std::make_shared<const shared_config::Rules>(b.holder->grounded());
-          b.holder = std::make_unique<shared_config::Holder>(lease_terms(), shared_config::Rules{});
-          if (ground.number) b.holder->keep(ground);
+          ground = b.holder->baseline();
+          ground.rules = std::make_shared<const shared_config::RuleSet>(b.holder->baseline_rules());
+          b.holder = std::make_unique<shared_config::LeaseClient>(lease_terms(), shared_config::RuleSet{});
+          if (ground.number) b.holder->restore_baseline(ground);
           b.out.clear(), b.barred_for = nullptr, b.kept.reset();
           break;
         }
@@ -231,8 +231,8 @@
     }
     if (leaderless_until_ && now_ >= leaderless_until_) {
       leaderless_until_ = 0;
-      leases_ = shared_config::Leases(lease_terms());
-      leases_.leads(now_, ++term_, {kLeader}, kLeader);
+      leases_ = shared_config::LeaseManager(lease_terms());
+      leases_.start_term(now_, ++term_, {kLeader}, kLeader);
       conduct_ = std::make_unique<maintenance::Conduct>(conduct_terms(), kLeader);
     }
     // Lists arrive at each broker when they do; one that is cut off from all goes by the old one.
@@ -272,15 +272,16 @@
       if (!reachable(b)) continue;  // lost
       if (m.to_leader) {
         if (leaderless_until_) continue;
-        if (m.ask) leases_.asked(now_, b.name, *m.ask);
+        if (m.ask) leases_.handle_request(now_, b.name, *m.ask);
         if (m.clear) conduct_->heard(now_, b.name, std::move(*m.clear));
       } else if (m.grant) {
-        b.holder->answered(now_, *m.grant);
+        b.holder->handle_grant(now_, *m.grant);
       }
     }
     if (leaderless_until_ || way_ == Way::blind) return;
-    if (const auto r = leases_.round(now_)) leases_.confirmed(now_, kLeader, term_, *r, book_);
-    for (auto& g : leases_.granted())
+    if (const auto r = leases_.start_round(now_))
+      leases_.handle_confirmation(now_, kLeader, term_, *r, book_);
+    for (auto& g : leases_.take_grants())
       mail_.push_back({now_ + kStep, std::stoi(g.to.substr(1)), false, term_, {}, std::move(g.grant), {}});
   }
 
@@ -288,14 +289,14 @@
     for (int i = 0; i < size_.brokers; ++i) {
       Broker& b = broker(i);
       if (now_ < b.stands_until) continue;
-      if (now_ >= b.holder->wake() && reachable(b))
-        mail_.push_back({now_ + kStep, i, true, term_, b.holder->ask(now_), {}, {}});
-      const auto& acting = *b.holder->acting(now_);
-      if (now_ >= b.says_at && acting.low && !acting.rules->at_work.empty()) {
+      if (now_ >= b.holder->next_wake() && reachable(b))
+        mail_.push_back({now_ + kStep, i, true, term_, b.holder->make_request(now_), {}, {}});
+      const auto& acting = *b.holder->active_config(now_);
+      if (now_ >= b.says_at && acting.low && !acting.rules->endpoints_in_maintenance.empty()) {
         b.says_at = now_ + kSecond / 10;
         maintenance::Clear c;
         c.low = acting.low;
-        for (const auto& node : acting.rules->at_work) {
+        for (const auto& node : acting.rules->endpoints_in_maintenance) {
           const int h = std::stoi(node.substr(2));
           c.out[node] = static_cast<int>(
               std::count_if(b.out.begin(), b.out.end(), [&](const Part& p) { return p.host == h; }));
@@ -318,13 +319,16 @@
                          !h.dead && !h.drained, warm(h) || now_ < h.started + kListLag};
     return f;
   }
-  const maintenance::Works& works() const { return static_cast<const maintenance::Works&>(*book_.board()); }
+  const maintenance::Works& works() const {
+    return static_cast<const maintenance::Works&>(*book_.state_machine());
+  }
 
   void lead() {
     if (leaderless_until_) return;
-    if (const auto f = leases_.may_force(now_, book_)) commit(shared_config::Entry::Kind::force, f);
-    if (book_.ground_next() && leases_.may_force_ground(book_))
-      commit(shared_config::Entry::Kind::force_ground, book_.ground_next()->number);
+    if (const auto f = leases_.activatable_version(now_, book_))
+      commit(shared_config::ConfigEntry::Kind::kActivateVersion, f);
+    if (book_.next_baseline() && leases_.may_activate_baseline(book_))
+      commit(shared_config::ConfigEntry::Kind::kActivateBaseline, book_.next_baseline()->number);
     if (settling_ && now_ >= settling_) {
       settling_ = 0;
       conduct_->settled(book_.apply(said_).number != 0);
@@ -334,13 +338,13 @@
     conduct_->looked(now_);
     ask_for_works();
     maintenance::Seen seen;
-    seen.facts = facts(), seen.held = leases_.held();
+    seen.facts = facts(), seen.held = leases_.brokers();
     for (const Broker& b : brokers_)
       if (reachable(b)) seen.alive.insert(b.name);
     if (auto e = conduct_->lead(now_, now_, book_, seen)) said_ = std::move(*e), settling_ = now_ + kStep;
   }
-  void commit(shared_config::Entry::Kind kind, std::uint64_t number) {
-    shared_config::Entry e;
+  void commit(shared_config::ConfigEntry::Kind kind, std::uint64_t number) {
+    shared_config::ConfigEntry e;
     e.kind = kind, e.number = number;
     book_.apply(e);
   }
@@ -349,8 +353,8 @@
     for (Job& j : jobs_) {
       if (j.work) continue;
       const Host& h = hosts_[static_cast<std::size_t>(j.host)];
-      shared_config::Entry e;
-      e.kind = shared_config::Entry::Kind::board, e.id = "ask-" + h.name, e.who = "crew";
+      shared_config::ConfigEntry e;
+      e.kind = shared_config::ConfigEntry::Kind::kStateMachine, e.id = "ask-" + h.name, e.who = "crew";
       maintenance::Op op;
       op.at = now_, op.request.emplace();
       op.request->machine = "m" + h.name, op.request->nodes = {h.name}, op.request->length = j.length;
@@ -414,8 +418,8 @@
         listed_at_[j.host] = now_ + kSecond / 5;
         continue;
       }
-      shared_config::Entry e;
-      e.kind = shared_config::Entry::Kind::board, e.id = "back-" + h.name, e.who = "crew";
+      shared_config::ConfigEntry e;
+      e.kind = shared_config::ConfigEntry::Kind::kStateMachine, e.id = "back-" + h.name, e.who = "crew";
       maintenance::Op op;
       op.at = now_, op.done = j.work;
       e.text = maintenance::encode(op);
@@ -439,14 +443,14 @@
     for (Broker& b : brokers_) {
       std::erase_if(b.out, [&](const Part& p) { return p.until <= now_; });
       if (now_ < b.stands_until || below(4) != 0) continue;
-      const shared_config::Acting* acting = nullptr;
+      const shared_config::ActiveConfig* acting = nullptr;
       if (way_ != Way::blind) {
-        const auto& a = b.holder->acting(now_);
+        const auto& a = b.holder->active_config(now_);
         acting = a.get();
         if (acting != b.barred_for) {
           b.barred_for = acting, b.kept = a;
           b.barred.assign(hosts_.size(), false);
-          for (const auto& node : acting->rules->at_work)
+          for (const auto& node : acting->rules->endpoints_in_maintenance)
             b.barred[static_cast<std::size_t>(std::stoi(node.substr(2)))] = true;
         }
       }
@@ -481,12 +485,12 @@
   std::map<int, Time> listed_at_;
   std::vector<std::pair<Broker*, std::size_t>> late_lists_;
   std::set<int> out_, failing_;
-  shared_config::Versions book_;
-  shared_config::Leases leases_{lease_terms()};
+  shared_config::VersionHistory book_;
+  shared_config::LeaseManager leases_{lease_terms()};
   std::unique_ptr<maintenance::Conduct> conduct_;
   std::uint64_t term_ = 1;
   Time leaderless_until_ = 0, settling_ = 0;
-  shared_config::Entry said_;
+  shared_config::ConfigEntry said_;
   std::deque<Mail> mail_;
   WorkRun run_;
 };
--- a/tests/cluster/zone_world.h
+++ b/tests/cluster/zone_world.h
@@ -58,11 +58,11 @@
     zone_failover::Terms t;
     t.home = name(0), t.zones = stated_, t.report_every = kSecond / 4, t.evidence.fresh = kSecond;
     zones_ = std::make_unique<zone_failover::Zones>(t, "b0");
-    shared_config::Entry ground;
-    ground.kind = shared_config::Entry::Kind::propose_ground, ground.id = "g", ground.base = 1;
+    shared_config::ConfigEntry ground;
+    ground.kind = shared_config::ConfigEntry::Kind::kProposeBaseline, ground.id = "g", ground.base = 1;
     ground.text = "zone_shares { otherwise: 30 }";
     book_.apply(ground);
-    ground.kind = shared_config::Entry::Kind::force_ground, ground.number = 2;
+    ground.kind = shared_config::ConfigEntry::Kind::kActivateBaseline, ground.number = 2;
     book_.apply(ground);
   }
 
@@ -269,12 +269,12 @@
     if (auto e = zones_->lead(now, book_)) {
       const auto v = book_.apply(*e);
       if (v.number) {
-        shared_config::Entry force;
-        force.kind = shared_config::Entry::Kind::force, force.number = v.number;
+        shared_config::ConfigEntry force;
+        force.kind = shared_config::ConfigEntry::Kind::kActivateVersion, force.number = v.number;
         book_.apply(force);
         ++run_.versions;
-        const auto& made = *book_.at(v.number);
-        tables_.push_back({step_, made.rules->zones, zone_failover::parse_note(made.note)});
+        const auto& made = *book_.find(v.number);
+        tables_.push_back({step_, made.rules->zone_shares, zone_failover::parse_note(made.note)});
         for (std::size_t z = 0; z < true_.size(); ++z) {
           const auto it = tables_.back().note.zones.find(name(static_cast<int>(z)));
           if (it == tables_.back().note.zones.end()) continue;
@@ -292,7 +292,7 @@
       double out = 0;
       const std::string home = name(static_cast<int>(b.home));
       for (std::size_t z = 0; z < true_.size(); ++z)
-        if (z != b.home) out += b.limit[z] = t->shares.of(home, name(static_cast<int>(z))) / 1000.0;
+        if (z != b.home) out += b.limit[z] = t->shares.thousandths(home, name(static_cast<int>(z))) / 1000.0;
       const auto it = t->note.zones.find(home);
       b.stay = it == t->note.zones.end() ? 1 : std::max(it->second.share / 1000.0, 1 - out);
     }
@@ -320,7 +320,7 @@
       const std::string home = name(static_cast<int>(b.home));
       double out = 0;
       for (std::size_t z = 0; z < true_.size(); ++z)
-        if (z != b.home) out += b.limit[z] = f.shares.of(home, name(static_cast<int>(z))) / 1000.0;
+        if (z != b.home) out += b.limit[z] = f.shares.thousandths(home, name(static_cast<int>(z))) / 1000.0;
       b.stay = std::max(then[b.home].share, 1 - out);
     }
   }
@@ -335,7 +335,7 @@
   std::vector<Fault> faults_;
   std::set<std::pair<std::size_t, std::size_t>> cut_;
   std::unique_ptr<zone_failover::Zones> zones_;
-  shared_config::Versions book_;
+  shared_config::VersionHistory book_;
   std::deque<Table> tables_;
   std::deque<std::pair<std::vector<zone_failover::Place>, zone_failover::Cut>> late_;
   std::vector<std::pair<int, bool>> seen_;
--- a/tests/golden/raft.cpp
+++ b/tests/golden/raft.cpp
@@ -74,7 +74,7 @@
     }
     // A log that is longer than terms are many: no two numbers in a message are the same.
     const std::vector<shared_config::LogEntry> earlier(
-        4, {1, kCommand, shared_config::encode(shared_config::Entry())});
+        4, {1, kCommand, shared_config::encode(shared_config::ConfigEntry())});
     for (const shared_config::Voter& voter : voters) {
       stores_.push_back(std::make_unique<cluster::KeptStore>(voter.id));
       shared_config::Engine::bootstrap(*stores_.back(), voters);
@@ -121,8 +121,8 @@
   // Two at once: the second goes out while the first is not committed.
   void propose_two(int number) {
     for (const char* which : {"first-", "second-"}) {
-      shared_config::Entry entry;
-      entry.kind = shared_config::Entry::Kind::enlist;
+      shared_config::ConfigEntry entry;
+      entry.kind = shared_config::ConfigEntry::Kind::kEnrollBroker;
       entry.name = which + std::to_string(number);
       EXPECT_TRUE(engines_[static_cast<std::size_t>(leader())]->propose(now_, entry, nullptr));
     }
--- a/tests/golden/shared_state.cpp
+++ b/tests/golden/shared_state.cpp
@@ -11,18 +11,20 @@
 
 using accord::wire::State;
 using accord::wire::Voters;
-using shared_config::Entry;
+using shared_config::ConfigEntry;
 using shared_config::Version;
 
 // In the order of their numbers in the log, from 1 on.
-constexpr Entry::Kind kKinds[] = {
-    Entry::Kind::propose,       Entry::Kind::propose_ground, Entry::Kind::force,
-    Entry::Kind::force_ground,  Entry::Kind::enlist,         Entry::Kind::strike,
-    Entry::Kind::propose_zones, Entry::Kind::order,          Entry::Kind::propose_works,
-    Entry::Kind::ground_works,  Entry::Kind::board};
-
-Entry entry_of(Entry::Kind kind) {
-  Entry entry;
+constexpr ConfigEntry::Kind kKinds[] = {
+    ConfigEntry::Kind::kProposeVersion,     ConfigEntry::Kind::kProposeBaseline,
+    ConfigEntry::Kind::kActivateVersion,    ConfigEntry::Kind::kActivateBaseline,
+    ConfigEntry::Kind::kEnrollBroker,       ConfigEntry::Kind::kRemoveBroker,
+    ConfigEntry::Kind::kProposeZoneShares,  ConfigEntry::Kind::kSetZoneOrder,
+    ConfigEntry::Kind::kProposeMaintenance, ConfigEntry::Kind::kProposeBaselineMaintenance,
+    ConfigEntry::Kind::kStateMachine};
+
+ConfigEntry entry_of(ConfigEntry::Kind kind) {
+  ConfigEntry entry;
   entry.kind = kind;
   entry.id = "p12";
   entry.text = rules_text(50);
@@ -35,7 +37,7 @@
   return entry;
 }
 
-void expect_equal(const Entry& read, const Entry& wanted) {
+void expect_equal(const ConfigEntry& read, const ConfigEntry& wanted) {
   EXPECT_EQ(read.kind, wanted.kind);
   EXPECT_EQ(read.id, wanted.id);
   EXPECT_EQ(read.text, wanted.text);
@@ -47,7 +49,7 @@
   EXPECT_EQ(read.number, wanted.number);
 }
 
-Golden entry(Entry::Kind kind, std::size_t number) {
+Golden entry(ConfigEntry::Kind kind, std::size_t number) {
   const auto decode = [kind](const std::string& bytes) {
     const auto read = shared_config::decode_entry(bytes);
     ASSERT_TRUE(read.has_value());
@@ -61,7 +63,7 @@
   Version version;
   version.number = 17;
   version.text = rules_text(17);
-  version.hash = shared_config::hash_of(version.text);
+  version.hash = shared_config::content_hash(version.text);
   version.who = "ann";
   version.why = "because";
   version.id = "p17";
@@ -89,7 +91,7 @@
   EXPECT_EQ(taken->why, wanted.why);
   EXPECT_EQ(taken->id, wanted.id);
   EXPECT_EQ(taken->note, wanted.note);
-  EXPECT_EQ(taken->rules->of("lookup").held_most, 17);
+  EXPECT_EQ(taken->rules->rule_for("lookup").max_in_progress, 17);
 }
 
 State state() {
@@ -177,7 +179,7 @@
 
 std::vector<Golden> shared_state() {
   std::vector<Golden> all;
-  for (const Entry::Kind kind : kKinds) {
+  for (const ConfigEntry::Kind kind : kKinds) {
     all.push_back(entry(kind, all.size() + 1));
   }
   all.push_back({"shared.version", encoded_version, expect_version});
--- a/tests/golden/version.h
+++ b/tests/golden/version.h
@@ -16,7 +16,7 @@
 inline void fill(accord::wire::Version& version, std::uint64_t number) {
   version.set_number(number);
   version.set_rules(rules_text(number));
-  version.set_hash(shared_config::hash_of(rules_text(number)));
+  version.set_hash(shared_config::content_hash(rules_text(number)));
   version.set_who("ann");
   version.set_why("because");
   version.set_id("p" + std::to_string(number));
@@ -26,7 +26,7 @@
 inline void expect_filled(const accord::wire::Version& version, std::uint64_t number) {
   EXPECT_EQ(version.number(), number);
   EXPECT_EQ(version.rules(), rules_text(number));
-  EXPECT_EQ(version.hash(), shared_config::hash_of(rules_text(number)));
+  EXPECT_EQ(version.hash(), shared_config::content_hash(rules_text(number)));
   EXPECT_EQ(version.who(), "ann");
   EXPECT_EQ(version.why(), "because");
   EXPECT_EQ(version.id(), "p" + std::to_string(number));
--- a/tests/grounds.cpp
+++ b/tests/grounds.cpp
@@ -27,10 +27,10 @@
 Time end_at = 4;
 int disabled_safeguard = 0;  // 0: none
 
-LeaseTerms terms() {
-  LeaseTerms t;
-  t.stated = 4;  // leases of 2 steps
-  t.drift = 0;
+LeaseSettings terms() {
+  LeaseSettings t;
+  t.max_divergence = 4;  // leases of 2 steps
+  t.max_clock_drift = 0;
   return t;
 }
 
@@ -50,14 +50,14 @@
 int max_proposals = 4;
 
 // All histories that occur. States refer to them by index, so equal histories must have equal indices.
-std::vector<Versions> histories;
+std::vector<VersionHistory> histories;
 // Returns the index of the history after an entry. `name` identifies the entry.
-int history_after(int history, const Entry& e, const std::string& name) {
+int history_after(int history, const ConfigEntry& e, const std::string& name) {
   static std::map<std::pair<int, std::string>, int> known;
   static std::map<std::string, int> by_content;
   const auto [it, fresh] = known.try_emplace({history, name}, 0);
   if (!fresh) return it->second;
-  Versions next = histories[static_cast<std::size_t>(history)];
+  VersionHistory next = histories[static_cast<std::size_t>(history)];
   next.apply(e);
   const auto [at, is_new] = by_content.try_emplace(next.snapshot(), static_cast<int>(histories.size()));
   if (is_new) histories.push_back(std::move(next));
@@ -74,54 +74,57 @@
   Time now = 1;
   int history = 0;
   int proposals_done = 0;
-  std::vector<Holder> clients{brokers, Holder(terms(), Rules{})};
+  std::vector<LeaseClient> clients{brokers, LeaseClient(terms(), RuleSet{})};
   std::vector<Folder> folders{brokers};
   int requests_made[kMaxBrokers] = {0, 0};
   int restarts_made[kMaxBrokers] = {0, 0};
-  Leases leader{terms()};
+  LeaseManager leader{terms()};
   std::uint64_t force = 0;         // proposed by the leader to take effect, not yet committed
   std::uint64_t force_ground = 0;  // the same for a baseline
-  std::vector<std::pair<int, Ask>> asks;
-  std::vector<std::pair<int, Grant>> grants;
+  std::vector<std::pair<int, LeaseRequest>> asks;
+  std::vector<std::pair<int, LeaseGrant>> grants;
 
-  const Versions& versions() const { return histories[static_cast<std::size_t>(history)]; }
+  const VersionHistory& versions() const { return histories[static_cast<std::size_t>(history)]; }
   std::string key() const {
     std::string k = std::to_string(now) + ' ' + std::to_string(history) + ' ' +
                     std::to_string(proposals_done) + ' ' + std::to_string(force) + ' ' +
                     std::to_string(force_ground) + ' ';
     for (std::size_t i = 0; i < brokers; ++i) {
       k += std::to_string(requests_made[i]) + std::to_string(restarts_made[i]) +
-           std::to_string(folders[i].number) + ' ' + folders[i].text + ' ' + text_of(clients[i].grounded());
-      clients[i].describe(now, k);
+           std::to_string(folders[i].number) + ' ' + folders[i].text + ' ' +
+           canonical_text(clients[i].baseline_rules());
+      clients[i].append_state(now, k);
     }
-    leader.describe(now, k);
+    leader.append_state(now, k);
     for (const auto& [i, a] : asks)
-      k += 'a' + std::to_string(i) + ' ' + std::to_string(a.sequence) + ' ' + std::to_string(a.taken) + ' ' +
-           std::to_string(a.have) + ' ' + std::to_string(a.ground) + ' ' + std::to_string(a.settled);
+      k += 'a' + std::to_string(i) + ' ' + std::to_string(a.sequence) + ' ' +
+           std::to_string(a.current_grant) + ' ' + std::to_string(a.newest_version) + ' ' +
+           std::to_string(a.baseline) + ' ' + std::to_string(a.settled_baseline);
     for (const auto& [i, g] : grants)
       k += 'g' + std::to_string(i) + ' ' + std::to_string(g.sequence) + ' ' + std::to_string(g.low) + ' ' +
-           std::to_string(g.high) + ' ' + std::to_string(g.ground ? g.ground->number : 0) + ' ' +
-           std::to_string(g.ground_next ? g.ground_next->number : 0) + ' ' +
+           std::to_string(g.high) + ' ' + std::to_string(g.baseline ? g.baseline->number : 0) + ' ' +
+           std::to_string(g.next_baseline ? g.next_baseline->number : 0) + ' ' +
            std::to_string(g.versions.size());
     return k;
   }
   bool good() const {
-    const Versions& v = versions();
-    for (const Holder& h : clients)
-      for (auto it = v.all().lower_bound(v.in_force()); it != v.all().end(); ++it)
-        if (!within(h.grounded(), *it->second.rules)) return false;
+    const VersionHistory& v = versions();
+    for (const LeaseClient& h : clients)
+      for (auto it = v.versions().lower_bound(v.in_force()); it != v.versions().end(); ++it)
+        if (!is_within(h.baseline_rules(), *it->second.rules)) return false;
     // No lease ends below the version in force, even if a grant to an earlier process of the broker arrived.
-    for (const Holder& h : clients)
-      if (h.until() > now && h.acting(now)->high < v.in_force()) return false;
+    for (const LeaseClient& h : clients)
+      if (h.lease_expires_at() > now && h.active_config(now)->high < v.in_force()) return false;
     return true;
   }
 };
 
 // Stores the baseline, as a broker does before it sends anything.
 void store_baseline(State& s, std::size_t i) {
-  const Holder& h = s.clients[i];
-  if (disabled_safeguard == 2 && h.ground_next()) return;  // stores settled baselines only
-  s.folders[i] = {h.ground().number, text_of(disabled_safeguard == 2 ? *h.ground().rules : h.grounded())};
+  const LeaseClient& h = s.clients[i];
+  if (disabled_safeguard == 2 && h.next_baseline()) return;  // stores settled baselines only
+  s.folders[i] = {h.baseline().number,
+                  canonical_text(disabled_safeguard == 2 ? *h.baseline().rules : h.baseline_rules())};
 }
 
 std::vector<State> after(const State& s) {
@@ -132,18 +135,18 @@
     if (s.requests_made[i] < max_requests && s.asks.size() + s.grants.size() < kMaxMessagesInFlight) {
       State& n = next();
       ++n.requests_made[i];
-      n.asks.emplace_back(static_cast<int>(i), n.clients[i].ask(n.now));
+      n.asks.emplace_back(static_cast<int>(i), n.clients[i].make_request(n.now));
     }
     if (s.restarts_made[i] < max_restarts) {
       State& n = next();
       ++n.restarts_made[i];
-      n.clients[i] = Holder(terms(), Rules{},
-                            disabled_safeguard == 3 ? 0 : static_cast<std::uint32_t>(n.restarts_made[i]));
+      n.clients[i] = LeaseClient(
+          terms(), RuleSet{}, disabled_safeguard == 3 ? 0 : static_cast<std::uint32_t>(n.restarts_made[i]));
       Version kept;
       kept.number = n.folders[i].number;
       kept.text = n.folders[i].text;
-      kept.rules = std::make_shared<const Rules>(parse_rules(kept.text, "folder"));
-      if (kept.number) n.clients[i].keep(kept);
+      kept.rules = std::make_shared<const RuleSet>(parse_rule_set(kept.text, "folder"));
+      if (kept.number) n.clients[i].restore_baseline(kept);
       // Messages from and to the earlier process may still arrive.
     }
   }
@@ -153,10 +156,11 @@
     State& n = next();
     const auto [i, ask] = n.asks[m];
     n.asks.erase(n.asks.begin() + static_cast<std::ptrdiff_t>(m));
-    n.leader.asked(n.now, kNames[i], ask);
+    n.leader.handle_request(n.now, kNames[i], ask);
     // The leader is the only voter of the model and confirms itself at once.
-    if (const auto r = n.leader.round(n.now)) n.leader.confirmed(n.now, "v1", 1, *r, n.versions());
-    for (auto& g : n.leader.granted()) n.grants.emplace_back(g.to == "x" ? 0 : 1, std::move(g.grant));
+    if (const auto r = n.leader.start_round(n.now))
+      n.leader.handle_confirmation(n.now, "v1", 1, *r, n.versions());
+    for (auto& g : n.leader.take_grants()) n.grants.emplace_back(g.to == "x" ? 0 : 1, std::move(g.grant));
   }
   for (std::size_t m = 0; m < s.grants.size(); ++m) {
     State& lost = next();
@@ -164,40 +168,41 @@
     State& n = next();
     const auto [i, grant] = n.grants[m];
     n.grants.erase(n.grants.begin() + static_cast<std::ptrdiff_t>(m));
-    n.clients[static_cast<std::size_t>(i)].answered(n.now, grant);
+    n.clients[static_cast<std::size_t>(i)].handle_grant(n.now, grant);
     store_baseline(n, static_cast<std::size_t>(i));
   }
   for (int w = s.proposals_done; w < max_proposals; ++w) {
-    Entry e;
-    e.kind = kProposals[w].is_baseline ? Entry::Kind::propose_ground : Entry::Kind::propose;
+    ConfigEntry e;
+    e.kind =
+        kProposals[w].is_baseline ? ConfigEntry::Kind::kProposeBaseline : ConfigEntry::Kind::kProposeVersion;
     e.text = kProposals[w].rules;
     e.id = "wish " + std::to_string(w);
-    e.base = kProposals[w].is_baseline ? s.versions().ground().number : s.versions().newest();
+    e.base = kProposals[w].is_baseline ? s.versions().baseline().number : s.versions().newest();
     const int history = history_after(s.history, e, e.id);
     if (history == s.history) continue;
     State& n = next();
     n.history = history;
     n.proposals_done = w + 1;
   }
-  const auto after_commit = [&](Entry::Kind kind, std::uint64_t number) {
-    Entry e;
+  const auto after_commit = [&](ConfigEntry::Kind kind, std::uint64_t number) {
+    ConfigEntry e;
     e.kind = kind;
     e.number = number;
     return history_after(s.history, e, std::to_string(static_cast<int>(kind)) + ' ' + std::to_string(number));
   };
   if (!s.force)
-    if (const auto f = s.leader.may_force(s.now, s.versions())) next().force = f;
+    if (const auto f = s.leader.activatable_version(s.now, s.versions())) next().force = f;
   if (s.force) {
     State& n = next();
-    n.history = after_commit(Entry::Kind::force, s.force);
+    n.history = after_commit(ConfigEntry::Kind::kActivateVersion, s.force);
     n.force = 0;
   }
-  if (!s.force_ground && s.versions().ground_next() &&
-      (disabled_safeguard == 1 || s.leader.may_force_ground(s.versions())))
-    next().force_ground = s.versions().ground_next()->number;
+  if (!s.force_ground && s.versions().next_baseline() &&
+      (disabled_safeguard == 1 || s.leader.may_activate_baseline(s.versions())))
+    next().force_ground = s.versions().next_baseline()->number;
   if (s.force_ground) {
     State& n = next();
-    n.history = after_commit(Entry::Kind::force_ground, s.force_ground);
+    n.history = after_commit(ConfigEntry::Kind::kActivateBaseline, s.force_ground);
     n.force_ground = 0;
   }
   return all;
@@ -223,18 +228,18 @@
   histories.emplace_back();
   State first;
   for (std::size_t i = 0; i < brokers; ++i) {
-    Entry e;
-    e.kind = Entry::Kind::enlist;
+    ConfigEntry e;
+    e.kind = ConfigEntry::Kind::kEnrollBroker;
     e.name = kNames[i];
     first.history = history_after(first.history, e, "enlist " + kNames[i]);
   }
-  first.leader.leads(first.now - terms().span(), 1, kVoters, "v1");
+  first.leader.start_term(first.now - terms().lease_duration(), 1, kVoters, "v1");
   // Shows that the model reaches the states of interest.
   bool narrow = false;
   bool wide = false;
   const Explored all = explore(first, true, after, [&](const State& s) {
-    narrow = narrow || s.versions().at(s.versions().in_force())->rules->of("a").held_most == 7;
-    wide = wide || s.versions().ground().rules->of("a").held_most == 9;
+    narrow = narrow || s.versions().find(s.versions().in_force())->rules->rule_for("a").max_in_progress == 7;
+    wide = wide || s.versions().baseline().rules->rule_for("a").max_in_progress == 9;
   });
   if (disabled_safeguard) {
     std::printf("with a defence out: %s\n",
