--- a/tests/leases.cpp
+++ b/tests/leases.cpp
@@ -26,10 +26,10 @@
 Time end_at = 5;
 int disabled_safeguard = 0;  // 0: none
 
-LeaseTerms terms() {
-  LeaseTerms t;
-  t.stated = 4;  // leases of 2 steps
-  t.drift = 0;
+LeaseSettings terms() {
+  LeaseSettings t;
+  t.max_divergence = 4;  // leases of 2 steps
+  t.max_clock_drift = 0;
   return t;
 }
 
@@ -39,13 +39,13 @@
   std::uint64_t newest_ = 1, in_force_ = 1;
   std::uint64_t newest() const { return newest_; }
   std::uint64_t in_force() const { return in_force_; }
-  const Versions& versions() const {
-    static std::map<std::pair<std::uint64_t, std::uint64_t>, Versions> all;
+  const VersionHistory& versions() const {
+    static std::map<std::pair<std::uint64_t, std::uint64_t>, VersionHistory> all;
     const auto [it, fresh] = all.try_emplace({newest_, in_force_});
     if (fresh) {
-      Entry e;
+      ConfigEntry e;
       for (e.base = 1; e.base < newest_; ++e.base) it->second.apply(e);
-      e.kind = Entry::Kind::force;
+      e.kind = ConfigEntry::Kind::kActivateVersion;
       e.number = in_force_;
       it->second.apply(e);
     }
@@ -56,18 +56,18 @@
 struct SentRequest {
   int client;
   int leader;
-  Ask ask;
+  LeaseRequest ask;
 };
 struct SentGrant {
   int client;
-  Grant grant;
+  LeaseGrant grant;
 };
 
 struct State {
   Time now = 1;
   History history;  // committed, and applied by the current leader
-  std::vector<Holder> clients{kClients, Holder(terms(), Rules{})};
-  std::vector<Leases> leaders{2, Leases(terms())};
+  std::vector<LeaseClient> clients{kClients, LeaseClient(terms(), RuleSet{})};
+  std::vector<LeaseManager> leaders{2, LeaseManager(terms())};
   int leader = 0;
   bool confirmed[2] = {false, false};  // a majority's confirmation is on its way to that leader
   std::uint64_t round[2] = {0, 0};     // awaiting confirmation, by leader; 0: none
@@ -86,9 +86,9 @@
                     std::to_string(forcing) + ' ';
     for (int i = 0; i < kClients; ++i) {
       k += std::to_string(requests_made[i]);
-      clients[static_cast<std::size_t>(i)].describe(now, k);
+      clients[static_cast<std::size_t>(i)].append_state(now, k);
     }
-    for (const Leases& l : leaders) l.describe(now, k);
+    for (const LeaseManager& l : leaders) l.append_state(now, k);
     for (const SentRequest& a : asks)
       k += 'a' + std::to_string(a.client) + std::to_string(a.leader) + ' ' + std::to_string(a.ask.sequence);
     for (const SentGrant& g : grants)
@@ -98,8 +98,8 @@
   }
   bool good() const {
     std::uint64_t low = 0, high = UINT64_MAX;
-    for (const Holder& client : clients) {
-      const auto& a = client.acting(now);
+    for (const LeaseClient& client : clients) {
+      const auto& a = client.active_config(now);
       if (!a->low) continue;
       low = std::max(low, a->low);
       high = std::min(high, a->high);
@@ -111,7 +111,7 @@
 const std::string kNames[kClients] = {"x", "y"};
 const std::set<std::string> kVoters{"v1", "v2", "v3"};
 
-const Versions& versions_of(const State& s, int leader) {
+const VersionHistory& versions_of(const State& s, int leader) {
   return (leader == s.leader ? s.history : s.old_history).versions();
 }
 
@@ -124,17 +124,18 @@
     if (s.requests_made[i] >= max_requests[i]) continue;
     State& n = next();
     ++n.requests_made[i];
-    n.asks.push_back({i, n.leader, n.clients[static_cast<std::size_t>(i)].ask(n.now)});
+    n.asks.push_back({i, n.leader, n.clients[static_cast<std::size_t>(i)].make_request(n.now)});
   }
   for (std::size_t m = 0; m < s.asks.size(); ++m) {  // a message that stays in the list is a lost one
     State& n = next();
     const SentRequest a = n.asks[m];
     n.asks.erase(n.asks.begin() + static_cast<std::ptrdiff_t>(m));
-    Leases& l = n.leaders[static_cast<std::size_t>(a.leader)];
-    Ask ask = a.ask;
-    if (disabled_safeguard == 1) ask.taken = ask.sequence;  // as if the client had taken up every grant
-    l.asked(n.now, kNames[a.client], ask);
-    if (const auto r = l.round(n.now)) {
+    LeaseManager& l = n.leaders[static_cast<std::size_t>(a.leader)];
+    LeaseRequest ask = a.ask;
+    if (disabled_safeguard == 1)
+      ask.current_grant = ask.sequence;  // as if the client had taken up every grant
+    l.handle_request(n.now, kNames[a.client], ask);
+    if (const auto r = l.start_round(n.now)) {
       n.round[a.leader] = *r;
       n.confirmed[a.leader] = false;
     }
@@ -144,19 +145,19 @@
   for (int l = 0; l < 2; ++l) {
     if (!s.confirmed[l]) continue;
     State& n = next();
-    Leases& leases = n.leaders[static_cast<std::size_t>(l)];
+    LeaseManager& leases = n.leaders[static_cast<std::size_t>(l)];
     for (const char* v : {"v1", "v2"})
-      leases.confirmed(n.now, v, static_cast<std::uint64_t>(l) + 1, n.round[l], versions_of(s, l));
+      leases.handle_confirmation(n.now, v, static_cast<std::uint64_t>(l) + 1, n.round[l], versions_of(s, l));
     n.confirmed[l] = false;
     n.round[l] = 0;
-    for (auto& g : leases.granted()) n.grants.push_back({g.to == "x" ? 0 : 1, std::move(g.grant)});
+    for (auto& g : leases.take_grants()) n.grants.push_back({g.to == "x" ? 0 : 1, std::move(g.grant)});
   }
   for (std::size_t m = 0; m < s.grants.size(); ++m) {
     State& n = next();
     const SentGrant g = n.grants[m];
     n.grants.erase(n.grants.begin() + static_cast<std::ptrdiff_t>(m));
-    Holder& h = n.clients[static_cast<std::size_t>(g.client)];
-    h.answered(n.now, g.grant);
+    LeaseClient& h = n.clients[static_cast<std::size_t>(g.client)];
+    h.handle_grant(n.now, g.grant);
   }
   if (s.history.newest() < max_version) {
     ++next().history.newest_;
@@ -164,10 +165,10 @@
   // The leader may propose that a version takes effect; the entry is committed at any later step, possibly by
   // the next leader.
   if (!s.forcing)
-    if (const auto f =
-            disabled_safeguard == 2 && s.history.newest() > s.history.in_force()
-                ? s.history.newest()
-                : s.leaders[static_cast<std::size_t>(s.leader)].may_force(s.now, s.history.versions()))
+    if (const auto f = disabled_safeguard == 2 && s.history.newest() > s.history.in_force()
+                           ? s.history.newest()
+                           : s.leaders[static_cast<std::size_t>(s.leader)].activatable_version(
+                                 s.now, s.history.versions()))
       next().forcing = f;
   if (s.forcing) {
     State& n = next();
@@ -178,7 +179,8 @@
     State& n = next();
     n.old_history = n.history;
     n.leader = 1;
-    n.leaders[1].leads(disabled_safeguard == 3 ? n.now - terms().span() : n.now, 2, kVoters, "v3");
+    n.leaders[1].start_term(disabled_safeguard == 3 ? n.now - terms().lease_duration() : n.now, 2, kVoters,
+                            "v3");
   }
   return all;
 }
@@ -195,14 +197,14 @@
     end_at = std::atoll(argv[4]);
   }
   State first;
-  first.leaders[0].leads(first.now - terms().span(), 1, kVoters, "v1");
+  first.leaders[0].start_term(first.now - terms().lease_duration(), 1, kVoters, "v1");
   // Versions are immutable and harmless to hold early, so the clients start with all of them.
-  for (Holder& h : first.clients) {
-    Grant g;
-    g.sequence = h.ask(first.now).sequence;
-    const Versions history = History{max_version, 1}.versions();
-    for (std::uint64_t n = 1; n <= max_version; ++n) g.versions.push_back(*history.at(n));
-    h.answered(first.now, g);
+  for (LeaseClient& h : first.clients) {
+    LeaseGrant g;
+    g.sequence = h.make_request(first.now).sequence;
+    const VersionHistory history = History{max_version, 1}.versions();
+    for (std::uint64_t n = 1; n <= max_version; ++n) g.versions.push_back(*history.find(n));
+    h.handle_grant(first.now, g);
   }
   if (disabled_safeguard) {
     // A violation may lie many events away from the first state, where random sequences find it sooner.
--- a/tests/stored/content.cpp
+++ b/tests/stored/content.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-using shared_config::Entry;
-using Kind = Entry::Kind;
-using Entries = std::vector<Entry>;
+using shared_config::ConfigEntry;
+using Kind = ConfigEntry::Kind;
+using Entries = std::vector<ConfigEntry>;
 using maintenance::kMs;
 using maintenance::Step;
 
@@ -41,8 +41,8 @@
   op_type { name: "lookup" held_most: 80 least_share: 0.25 }
   sends_most: 4 index_off: "old" list_floor: 6)";
 
-Entry entry(Kind kind, const std::string& id, const std::string& text, std::uint64_t base = 0) {
-  Entry made;
+ConfigEntry entry(Kind kind, const std::string& id, const std::string& text, std::uint64_t base = 0) {
+  ConfigEntry made;
   made.kind = kind;
   made.id = id;
   made.text = text;
@@ -52,37 +52,37 @@
   return made;
 }
 
-Entry with_note(Entry made, const std::string& note) {
+ConfigEntry with_note(ConfigEntry made, const std::string& note) {
   made.note = note;
   return made;
 }
 
-Entry up_to(Kind kind, std::uint64_t number) {
-  Entry made;
+ConfigEntry up_to(Kind kind, std::uint64_t number) {
+  ConfigEntry made;
   made.kind = kind;
   made.number = number;
   return made;
 }
 
-Entry of_broker(Kind kind, const std::string& name) {
-  Entry made;
+ConfigEntry of_broker(Kind kind, const std::string& name) {
+  ConfigEntry made;
   made.kind = kind;
   made.name = name;
   return made;
 }
 
-Entry order(const std::string& id, const std::string& zone, const std::string& what) {
-  Entry made = entry(Kind::order, id, what);
+ConfigEntry order(const std::string& id, const std::string& zone, const std::string& what) {
+  ConfigEntry made = entry(Kind::kSetZoneOrder, id, what);
   made.name = zone;
   return made;
 }
 
-Entry job_entry(const std::string& id, maintenance::Op op, int seconds) {
+ConfigEntry job_entry(const std::string& id, maintenance::Op op, int seconds) {
   op.at = kWallClock + seconds * kSecond;
-  return entry(Kind::board, id, maintenance::encode(op));
+  return entry(Kind::kStateMachine, id, maintenance::encode(op));
 }
 
-Entry facts(const std::string& id, bool all_warm, int seconds) {
+ConfigEntry facts(const std::string& id, bool all_warm, int seconds) {
   maintenance::Facts seen;
   seen.revision = 41;
   seen.cells = kPairsOfNodes * kCellsApart;
@@ -109,68 +109,69 @@
   return request;
 }
 
-Entry request(const std::string& id, const maintenance::Request& wanted, int seconds) {
+ConfigEntry request(const std::string& id, const maintenance::Request& wanted, int seconds) {
   maintenance::Op op;
   op.request = wanted;
   return job_entry(id, op, seconds);
 }
 
-Entry move(const std::string& id, std::uint64_t job, Step from, Step to, int seconds) {
+ConfigEntry move(const std::string& id, std::uint64_t job, Step from, Step to, int seconds) {
   maintenance::Op op;
   op.step = maintenance::Op::Move{job, from, to};
   return job_entry(id, op, seconds);
 }
 
-Entry hold(const std::string& id, std::uint64_t job, int seconds) {
+ConfigEntry hold(const std::string& id, std::uint64_t job, int seconds) {
   maintenance::Op op;
   op.hold = job;
   return job_entry(id, op, seconds);
 }
 
-Entry resume(const std::string& id, std::uint64_t job, int seconds) {
+ConfigEntry resume(const std::string& id, std::uint64_t job, int seconds) {
   maintenance::Op op;
   op.resume = job;
   return job_entry(id, op, seconds);
 }
 
-Entry cancel(const std::string& id, std::uint64_t job, int seconds) {
+ConfigEntry cancel(const std::string& id, std::uint64_t job, int seconds) {
   maintenance::Op op;
   op.cancel = job;
   return job_entry(id, op, seconds);
 }
 
-Entry done(const std::string& id, std::uint64_t job, int seconds) {
+ConfigEntry done(const std::string& id, std::uint64_t job, int seconds) {
   maintenance::Op op;
   op.done = job;
   return job_entry(id, op, seconds);
 }
 
 void add(Entries& to, Entries more) {
-  for (Entry& one : more) {
+  for (ConfigEntry& one : more) {
     to.push_back(std::move(one));
   }
 }
 
 Entries brokers_and_rules() {
-  return {of_broker(Kind::enlist, "b1"),
-          of_broker(Kind::enlist, "b2"),
-          of_broker(Kind::enlist, "b3"),
-          of_broker(Kind::enlist, "b4"),
-          of_broker(Kind::strike, "b4"),
-          of_broker(Kind::strike, "never-there"),
-          entry(Kind::propose_ground, "baseline-2", kBaseline, 1),
-          up_to(Kind::force_ground, 2),
-          entry(Kind::propose, "rules-2", kRules, 1),
-          up_to(Kind::force, 2),
-          entry(Kind::propose, "refused-old-base", kRules, 1),
-          entry(Kind::propose, "refused-misspelt", "op_type { name: \"lookup\" held_mots: 5 }", 2),
-          entry(Kind::propose, "refused-below-baseline", "op_type { name: \"lookup\" held_most: 1 }", 2),
-          entry(Kind::propose, "rules-2", kRules, 1),
-          up_to(Kind::force, 9),
-          with_note(entry(Kind::propose_zones, "shares-3",
-                          "zone_shares { otherwise: 500 share { from: \"east\" to: \"west\" most: 250 } "
-                          "share { from: \"west\" to: \"east\" most: 1000 } }"),
-                    "east:far_until=17,\"ü\"")};
+  return {
+      of_broker(Kind::kEnrollBroker, "b1"),
+      of_broker(Kind::kEnrollBroker, "b2"),
+      of_broker(Kind::kEnrollBroker, "b3"),
+      of_broker(Kind::kEnrollBroker, "b4"),
+      of_broker(Kind::kRemoveBroker, "b4"),
+      of_broker(Kind::kRemoveBroker, "never-there"),
+      entry(Kind::kProposeBaseline, "baseline-2", kBaseline, 1),
+      up_to(Kind::kActivateBaseline, 2),
+      entry(Kind::kProposeVersion, "rules-2", kRules, 1),
+      up_to(Kind::kActivateVersion, 2),
+      entry(Kind::kProposeVersion, "refused-old-base", kRules, 1),
+      entry(Kind::kProposeVersion, "refused-misspelt", "op_type { name: \"lookup\" held_mots: 5 }", 2),
+      entry(Kind::kProposeVersion, "refused-below-baseline", "op_type { name: \"lookup\" held_most: 1 }", 2),
+      entry(Kind::kProposeVersion, "rules-2", kRules, 1),
+      up_to(Kind::kActivateVersion, 9),
+      with_note(entry(Kind::kProposeZoneShares, "shares-3",
+                      "zone_shares { otherwise: 500 share { from: \"east\" to: \"west\" most: 250 } "
+                      "share { from: \"west\" to: \"east\" most: 1000 } }"),
+                "east:far_until=17,\"ü\"")};
 }
 
 Entries jobs_asked_for() {
@@ -222,12 +223,12 @@
 
 Entries nodes_at_work_and_orders() {
   const std::string nodes = "at_work: \"a1\" at_work: \"a2\" at_work: \"a3\" at_work: \"a7\"";
-  return {entry(Kind::ground_works, "works-baseline-3", nodes),
-          entry(Kind::propose_ground, "refused-baseline-waits", kNarrowerBaseline, 2),
-          up_to(Kind::force_ground, 3),
-          entry(Kind::propose_works, "works-4", nodes),
-          up_to(Kind::force, 3),
-          entry(Kind::propose_ground, "baseline-4", kNarrowerBaseline, 3),
+  return {entry(Kind::kProposeBaselineMaintenance, "works-baseline-3", nodes),
+          entry(Kind::kProposeBaseline, "refused-baseline-waits", kNarrowerBaseline, 2),
+          up_to(Kind::kActivateBaseline, 3),
+          entry(Kind::kProposeMaintenance, "works-4", nodes),
+          up_to(Kind::kActivateVersion, 3),
+          entry(Kind::kProposeBaseline, "baseline-4", kNarrowerBaseline, 3),
           order("order-1", "west", "evacuate"),
           order("order-2", "east", "hold"),
           order("order-3", "middle", "hold"),
@@ -248,41 +249,43 @@
 }
 
 Entries entries_after_snapshot() {
-  return {up_to(Kind::force_ground, 4),
-          up_to(Kind::force, 4),
-          entry(Kind::propose, "rules-5", kWiderRules, 4),
-          with_note(entry(Kind::propose_zones, "shares-6", "zone_shares { otherwise: 900 }", 3), "none far"),
-          entry(Kind::propose_works, "works-7", "", 4),
-          up_to(Kind::force, 7),
-          entry(Kind::ground_works, "works-baseline-5", "", 3),
-          order("order-5", "east", ""),
-          of_broker(Kind::enlist, "b5"),
-          of_broker(Kind::strike, "b1"),
-          resume("resume-all", 0, 60),
-          resume("resume-1", 1, 61),
-          move("back-2", 2, Step::draining, Step::queued, 62),
-          move("draining-9", 9, Step::queued, Step::draining, 63),
-          done("done-8", 8, 64),
-          facts("facts-2", false, 65)};
+  return {
+      up_to(Kind::kActivateBaseline, 4),
+      up_to(Kind::kActivateVersion, 4),
+      entry(Kind::kProposeVersion, "rules-5", kWiderRules, 4),
+      with_note(entry(Kind::kProposeZoneShares, "shares-6", "zone_shares { otherwise: 900 }", 3), "none far"),
+      entry(Kind::kProposeMaintenance, "works-7", "", 4),
+      up_to(Kind::kActivateVersion, 7),
+      entry(Kind::kProposeBaselineMaintenance, "works-baseline-5", "", 3),
+      order("order-5", "east", ""),
+      of_broker(Kind::kEnrollBroker, "b5"),
+      of_broker(Kind::kRemoveBroker, "b1"),
+      resume("resume-all", 0, 60),
+      resume("resume-1", 1, 61),
+      move("back-2", 2, Step::draining, Step::queued, 62),
+      move("draining-9", 9, Step::queued, Step::draining, 63),
+      done("done-8", 8, 64),
+      facts("facts-2", false, 65)};
 }
 
 Entries entries_to_append() {
-  return {up_to(Kind::force_ground, 5),
-          entry(Kind::propose, "rules-8", kRules, 7),
-          with_note(entry(Kind::propose_zones, "shares-9", "zone_shares { otherwise: 700 }", 6), "further"),
-          up_to(Kind::force, 9),
-          entry(Kind::ground_works, "works-baseline-6", "at_work: \"a1\"", 5),
-          up_to(Kind::force_ground, 6),
-          entry(Kind::propose_works, "works-10", "at_work: \"a1\"", 7),
-          up_to(Kind::force, 10),
-          entry(Kind::propose_ground, "baseline-7", kNarrowerBaseline, 6),
-          entry(Kind::propose, "rules-2", kRules, 1),
-          order("order-6", "middle", "hold"),
-          of_broker(Kind::enlist, "b6"),
-          of_broker(Kind::strike, "b5"),
-          done("done-4", 4, 70),
-          request("job-11", machine(6), 71),
-          cancel("cancel-1", 1, 72)};
+  return {
+      up_to(Kind::kActivateBaseline, 5),
+      entry(Kind::kProposeVersion, "rules-8", kRules, 7),
+      with_note(entry(Kind::kProposeZoneShares, "shares-9", "zone_shares { otherwise: 700 }", 6), "further"),
+      up_to(Kind::kActivateVersion, 9),
+      entry(Kind::kProposeBaselineMaintenance, "works-baseline-6", "at_work: \"a1\"", 5),
+      up_to(Kind::kActivateBaseline, 6),
+      entry(Kind::kProposeMaintenance, "works-10", "at_work: \"a1\"", 7),
+      up_to(Kind::kActivateVersion, 10),
+      entry(Kind::kProposeBaseline, "baseline-7", kNarrowerBaseline, 6),
+      entry(Kind::kProposeVersion, "rules-2", kRules, 1),
+      order("order-6", "middle", "hold"),
+      of_broker(Kind::kEnrollBroker, "b6"),
+      of_broker(Kind::kRemoveBroker, "b5"),
+      done("done-4", 4, 70),
+      request("job-11", machine(6), 71),
+      cancel("cancel-1", 1, 72)};
 }
 
 }  // namespace cairnhub::stored
--- a/tests/stored/content.h
+++ b/tests/stored/content.h
@@ -7,9 +7,9 @@
 
 namespace cairnhub::stored {
 
-std::vector<shared_config::Entry> entries_before_snapshot();
-std::vector<shared_config::Entry> entries_after_snapshot();
-std::vector<shared_config::Entry> entries_to_append();
+std::vector<shared_config::ConfigEntry> entries_before_snapshot();
+std::vector<shared_config::ConfigEntry> entries_after_snapshot();
+std::vector<shared_config::ConfigEntry> entries_to_append();
 
 // The text and number that the fixture keeps as this broker's own baseline, beside the log.
 extern const char* const kKeptBaseline;
--- a/tests/stored/dump.cpp
+++ b/tests/stored/dump.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 using maintenance::kMs;
-using shared_config::Entry;
+using shared_config::ConfigEntry;
 
 constexpr unsigned short kCommand = 1;  // entry types of the consensus library
 constexpr unsigned short kBarrier = 2;
@@ -84,7 +84,7 @@
   std::ostringstream out_;
 };
 
-const char* kind_label(Entry::Kind kind) {
+const char* kind_label(ConfigEntry::Kind kind) {
   constexpr const char* kLabels[] = {"?",
                                      "rules",
                                      "baseline",
@@ -169,7 +169,7 @@
   out.text("id", entry->id).text("text", entry->text).text("who", entry->who).text("why", entry->why);
   out.text("name", entry->name).text("note", entry->note);
   out.number("base", entry->base).number("number", entry->number);
-  if (entry->kind == Entry::Kind::board) {
+  if (entry->kind == ConfigEntry::Kind::kStateMachine) {
     out.raw(dump_operation(entry->text));
   }
   return out.str();
@@ -185,28 +185,30 @@
   return "  bytes " + bytes + "\n";
 }
 
-std::string dump_request_class(const std::string& name, const shared_config::OpRule& rule) {
+std::string dump_request_class(const std::string& name, const shared_config::RequestClassRule& rule) {
   Lines out;
-  out.text("request class", name).number(" served", rule.served).time(" longest", rule.time_most);
-  out.number(" most held", rule.held_most).time(" latency objective", rule.budget_most);
-  out.number(" least share", rule.least_share).number(" bytes between zones", rule.crossing_most);
+  out.text("request class", name).number(" served", rule.is_served).time(" longest", rule.max_duration);
+  out.number(" most held", rule.max_in_progress).time(" latency objective", rule.max_latency_budget);
+  out.number(" least share", rule.min_share)
+      .number(" bytes between zones", rule.max_cross_zone_bytes_per_second);
   return out.str();
 }
 
 // The rules that a text says, and that they lead to that text again.
 std::string dump_rules(const std::string& text) {
-  const shared_config::Rules rules = shared_config::parse_rules(text, "stored");
+  const shared_config::RuleSet rules = shared_config::parse_rule_set(text, "stored");
   Lines out;
-  out.text("hash of the text", shared_config::hash_of(text));
-  out.number("written the same again", shared_config::text_of(rules) == text);
-  for (const auto& [name, rule] : rules.op_types) {
+  out.text("hash of the text", shared_config::content_hash(text));
+  out.number("written the same again", shared_config::canonical_text(rules) == text);
+  for (const auto& [name, rule] : rules.request_classes) {
     out.raw(dump_request_class(name, rule));
   }
-  out.number("most sends", rules.sends_most).number("second copies", rules.second_copies);
-  out.list("not in two phases", rules.two_phase_off).list("indices off", rules.index_off);
-  out.list("withheld", rules.withheld).list("at work", rules.at_work);
-  out.number("least list revision", rules.list_floor).number("other zones", rules.zones.otherwise);
-  for (const auto& [pair, most] : rules.zones.most) {
+  out.number("most sends", rules.max_attempts).number("second copies", rules.allows_hedging);
+  out.list("not in two phases", rules.two_phase_disabled).list("indices off", rules.disabled_indices);
+  out.list("withheld", rules.withheld_endpoints).list("at work", rules.endpoints_in_maintenance);
+  out.number("least list revision", rules.min_list_revision)
+      .number("other zones", rules.zone_shares.default_thousandths);
+  for (const auto& [pair, most] : rules.zone_shares.thousandths_by_pair) {
     out.list("share", std::vector<std::string>{pair.first, pair.second, std::to_string(most)});
   }
   return out.str();
@@ -309,12 +311,12 @@
   return out.str() + (held.snapshot ? dump_snapshot(*held.snapshot) : "no snapshot\n");
 }
 
-std::string dump_state(const shared_config::Versions& versions) {
+std::string dump_state(const shared_config::VersionHistory& versions) {
   Lines out;
   out.title("state machine").number("newest", versions.newest()).number("in force", versions.in_force());
   const std::string bytes = versions.snapshot();
   out.raw(dump_snapshot_state(bytes));
-  out.title("as bytes").number("count", bytes.size()).text("hash", shared_config::hash_of(bytes));
+  out.title("as bytes").number("count", bytes.size()).text("hash", shared_config::content_hash(bytes));
   return out.str();
 }
 
--- a/tests/stored/dump.h
+++ b/tests/stored/dump.h
@@ -11,6 +11,6 @@
 // Term, vote, each log entry decoded, the snapshot decoded.
 std::string dump_store(const shared_config::Kept& store);
 // What the entries have led to.
-std::string dump_state(const shared_config::Versions& versions);
+std::string dump_state(const shared_config::VersionHistory& versions);
 
 }  // namespace cairnhub::stored
--- a/tests/stored/stores.cpp
+++ b/tests/stored/stores.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-using shared_config::Entry;
+using shared_config::ConfigEntry;
 using shared_config::LogEntry;
 
 constexpr unsigned short kCommand = 1;  // entry types of the consensus library
@@ -24,9 +24,9 @@
 constexpr int kTicksAtMost = 1000;
 const char* const kBroker = "b1";
 
-std::vector<LogEntry> as_log(const std::vector<Entry>& entries, std::uint64_t term) {
+std::vector<LogEntry> as_log(const std::vector<ConfigEntry>& entries, std::uint64_t term) {
   std::vector<LogEntry> log;
-  for (const Entry& entry : entries) {
+  for (const ConfigEntry& entry : entries) {
     log.push_back({term, kCommand, shared_config::encode(entry)});
   }
   return log;
@@ -76,18 +76,18 @@
         "the voter");
     store->keep_ground(kKeptBaseline, kKeptBaselineNumber);
   }
-  const std::vector<Entry> before = entries_before_snapshot();
-  std::vector<Entry> all = before;
-  for (const Entry& entry : entries_after_snapshot()) {
+  const std::vector<ConfigEntry> before = entries_before_snapshot();
+  std::vector<ConfigEntry> all = before;
+  for (const ConfigEntry& entry : entries_after_snapshot()) {
     all.push_back(entry);
   }
   const unsigned first_two = 2;  // the voter's own entry and the new leader's barrier
   run_engine(folder, all, static_cast<unsigned>(before.size()) + first_two);
 }
 
-shared_config::Versions replay(const shared_config::Kept& store, Numbers* numbers) {
+shared_config::VersionHistory replay(const shared_config::Kept& store, Numbers* numbers) {
   const shared_config::Stored& held = store.loaded();
-  shared_config::Versions versions(std::make_shared<maintenance::Works>());
+  shared_config::VersionHistory versions(std::make_shared<maintenance::Works>());
   if (held.snapshot) {
     require(versions.restore(held.snapshot->data), "its snapshot");
   }
@@ -100,7 +100,7 @@
     }
     const auto entry = shared_config::decode_entry(logged.data);
     require(entry.has_value(), "an entry");
-    const shared_config::Verdict verdict = versions.apply(*entry);
+    const shared_config::ApplyResult verdict = versions.apply(*entry);
     if (numbers) {
       numbers->push_back(verdict.number);
     }
@@ -118,8 +118,8 @@
   require(store->append(next, {{kAppendedTerm, kCommand, "to be cut off"}}), "an entry");
   require(store->truncate(next), "cutting off");
   require(store->append(next, log), "further entries");
-  shared_config::Versions versions = replay(*store);
-  for (const Entry& entry : entries_to_append()) {
+  shared_config::VersionHistory versions = replay(*store);
+  for (const ConfigEntry& entry : entries_to_append()) {
     versions.apply(entry);
   }
   const std::uint64_t last = next + log.size() - 1;
@@ -127,7 +127,8 @@
   require(store->put({last, kAppendedTerm, 1, voters, versions.snapshot()}, last), "a snapshot");
 }
 
-EngineRun run_engine(const std::string& folder, const std::vector<Entry>& entries, unsigned snapshot_after) {
+EngineRun run_engine(const std::string& folder, const std::vector<ConfigEntry>& entries,
+                     unsigned snapshot_after) {
   const auto store = open_store(folder);
   shared_config::EngineTerms terms;
   terms.snapshot_after = snapshot_after == 0 ? kNoSnapshot : snapshot_after;
@@ -141,9 +142,9 @@
     now += terms.tick;
     engine.tick(now);
   }
-  for (const Entry& entry : entries) {
+  for (const ConfigEntry& entry : entries) {
     const bool is_taken =
-        engine.propose(now, entry, [&](const std::optional<shared_config::Verdict>& verdict) {
+        engine.propose(now, entry, [&](const std::optional<shared_config::ApplyResult>& verdict) {
           run.numbers.push_back(verdict ? verdict->number : 0);
         });
     require(is_taken, "a proposal");
--- a/tests/stored/stores.h
+++ b/tests/stored/stores.h
@@ -22,7 +22,7 @@
 using Numbers = std::vector<std::uint64_t>;
 
 // The state machine after the stored snapshot, if any, and the stored log.
-shared_config::Versions replay(const shared_config::Kept& store, Numbers* numbers = nullptr);
+shared_config::VersionHistory replay(const shared_config::Kept& store, Numbers* numbers = nullptr);
 
 // Goes on as a follower would: a later term, a vote, entries cut off and written anew, a snapshot.
 void append_to_log_alone(const std::string& folder);
@@ -33,7 +33,7 @@
   Numbers numbers;
   bool is_broken = false;
 };
-EngineRun run_engine(const std::string& folder, const std::vector<shared_config::Entry>& entries,
+EngineRun run_engine(const std::string& folder, const std::vector<shared_config::ConfigEntry>& entries,
                      unsigned snapshot_after);
 
 }  // namespace cairnhub::stored
--- a/tests/stored_data.cpp
+++ b/tests/stored_data.cpp
@@ -111,7 +111,7 @@
 std::string replayed_text(const fs::path& folder) {
   const TemporaryCopy copy(folder);
   Numbers numbers;
-  const shared_config::Versions versions = replay(*open_store(copy.path()), &numbers);
+  const shared_config::VersionHistory versions = replay(*open_store(copy.path()), &numbers);
   return text_of_numbers(numbers) + dump_state(versions);
 }
 
--- a/tests/upkeep.cpp
+++ b/tests/upkeep.cpp
@@ -30,12 +30,12 @@
 }
 
 struct Desk {
-  shared_config::Versions book{std::make_shared<Works>()};
+  shared_config::VersionHistory book{std::make_shared<Works>()};
   Time wall = 1'000'000 * kSecond;
-  const Works& works() const { return static_cast<const Works&>(*book.board()); }
-  shared_config::Verdict say(Op op, const std::string& who = "ann") {
-    shared_config::Entry e;
-    e.kind = shared_config::Entry::Kind::board, e.who = who, e.why = "story";
+  const Works& works() const { return static_cast<const Works&>(*book.state_machine()); }
+  shared_config::ApplyResult say(Op op, const std::string& who = "ann") {
+    shared_config::ConfigEntry e;
+    e.kind = shared_config::ConfigEntry::Kind::kStateMachine, e.who = who, e.why = "story";
     op.at = wall;
     e.text = encode(op);
     return book.apply(e);
@@ -45,15 +45,15 @@
     op.facts = f;
     say(op, "upkeep");
   }
-  shared_config::Verdict ask(const std::string& machine, std::vector<std::string> nodes,
-                             Time length = 1800 * kSecond, Time latest = kNever, int priority = 0) {
+  shared_config::ApplyResult ask(const std::string& machine, std::vector<std::string> nodes,
+                                 Time length = 1800 * kSecond, Time latest = kNever, int priority = 0) {
     Op op;
     op.request.emplace();
     op.request->machine = machine, op.request->nodes = std::move(nodes), op.request->length = length;
     op.request->latest = latest, op.request->priority = priority;
     return say(op);
   }
-  shared_config::Verdict step(std::uint64_t work, Step to) {
+  shared_config::ApplyResult step(std::uint64_t work, Step to) {
     const auto it = works().all().find(work);
     Op op;
     op.step = Op::Move{work, it == works().all().end() ? Step::queued : it->second.step, to};
@@ -61,9 +61,9 @@
   }
 };
 
-void show(const char* what, const shared_config::Verdict& v) {
+void show(const char* what, const shared_config::ApplyResult& v) {
   std::printf("%s: %s\n", what,
-              v.number ? ("taken, " + std::to_string(v.number)).c_str() : v.refused.c_str());
+              v.number ? ("taken, " + std::to_string(v.number)).c_str() : v.rejection.c_str());
 }
 
 void board() {
@@ -272,7 +272,7 @@
     const auto complain = [&](const char* what) { return std::printf("seed %d: %s\n", seed, what), 1; };
     for (int k = 0; k < 150; ++k) {
       d.wall += below(100) * kSecond;
-      shared_config::Verdict v;
+      shared_config::ApplyResult v;
       std::uint64_t begun = 0;
       const std::uint64_t some =
           1 + static_cast<std::uint64_t>(below(static_cast<unsigned>(d.works().all().size() + 1)));
--- a/tests/works.cpp
+++ b/tests/works.cpp
@@ -30,9 +30,9 @@
 Time end_at = 5;
 int broken = 0;
 
-LeaseTerms lease_terms() {
-  LeaseTerms t;
-  t.stated = 4, t.drift = 0;  // a span of 2 steps
+LeaseSettings lease_terms() {
+  LeaseSettings t;
+  t.max_divergence = 4, t.max_clock_drift = 0;  // a span of 2 steps
   return t;
 }
 maintenance::ConductTerms conduct_terms() {
@@ -49,14 +49,14 @@
 }
 
 // Books by number, so that states are told apart by it: the same entries lead to the same book.
-std::vector<Versions> books;
-int book_after(int book, Entry e) {
+std::vector<VersionHistory> books;
+int book_after(int book, ConfigEntry e) {
   static std::map<std::pair<int, std::string>, int> known;
   static std::map<std::string, int> by_content;
   e.id.clear(), e.why.clear();  // names of entries are no state
   const auto [it, fresh] = known.try_emplace({book, encode(e)}, 0);
   if (!fresh) return it->second;
-  Versions next = books[static_cast<std::size_t>(book)];
+  VersionHistory next = books[static_cast<std::size_t>(book)];
   next.apply(e);
   const auto [at, new_one] = by_content.try_emplace(next.snapshot(), static_cast<int>(books.size()));
   if (new_one) books.push_back(std::move(next));
@@ -66,46 +66,49 @@
 struct State {
   Time now = 1;
   int book = 0;
-  std::vector<Holder> holders{brokers, Holder(lease_terms(), Rules{})};
+  std::vector<LeaseClient> holders{brokers, LeaseClient(lease_terms(), RuleSet{})};
   int asked[kBrokersMost] = {0, 0}, sent[kBrokersMost] = {0, 0};
   Time out_since[kBrokersMost] = {0, 0};  // a part at the node; 0: none
-  Leases leader{lease_terms()};
+  LeaseManager leader{lease_terms()};
   maintenance::Conduct conduct{conduct_terms(), "v1"};
   int leaders_gone = 0;
   std::uint64_t force = 0, force_ground = 0;  // decided by the leader, not yet committed
-  std::optional<Entry> said;                  // by the conduct, not yet committed
-  std::vector<std::pair<int, Ask>> asks;
-  std::vector<std::pair<int, Grant>> grants;
+  std::optional<ConfigEntry> said;            // by the conduct, not yet committed
+  std::vector<std::pair<int, LeaseRequest>> asks;
+  std::vector<std::pair<int, LeaseGrant>> grants;
   std::vector<std::pair<int, maintenance::Clear>> clears;
 
-  const Versions& versions() const { return books[static_cast<std::size_t>(book)]; }
+  const VersionHistory& versions() const { return books[static_cast<std::size_t>(book)]; }
   const maintenance::Work& work() const {
-    return static_cast<const maintenance::Works&>(*versions().board()).all().begin()->second;
+    return static_cast<const maintenance::Works&>(*versions().state_machine()).all().begin()->second;
   }
   std::size_t under_way() const { return asks.size() + grants.size() + clears.size(); }
   bool allowed(std::size_t i) const {  // to send to the node, as the broker looks at its clock
     // Without the look it goes on under the lease that it held last.
-    const Time at = broken == 3 && holders[i].until() > 0 ? std::min(now, holders[i].until() - 1) : now;
-    return holders[i].acting(at)->rules->at_work.count("n") == 0;
+    const Time at = broken == 3 && holders[i].lease_expires_at() > 0
+                        ? std::min(now, holders[i].lease_expires_at() - 1)
+                        : now;
+    return holders[i].active_config(at)->rules->endpoints_in_maintenance.count("n") == 0;
   }
   std::string key() const {
     std::string k = std::to_string(now) + ' ' + std::to_string(book) + ' ' + std::to_string(force) + ' ' +
                     std::to_string(force_ground) + ' ' + std::to_string(leaders_gone);
     for (std::size_t i = 0; i < brokers; ++i) {
       k += ' ' + std::to_string(asked[i]) + std::to_string(sent[i]) + std::to_string(out_since[i]) +
-           text_of(holders[i].grounded());
-      holders[i].describe(now, k);
+           canonical_text(holders[i].baseline_rules());
+      holders[i].append_state(now, k);
     }
-    leader.describe(now, k);
+    leader.append_state(now, k);
     conduct.describe(now, k);
     if (said) k += encode(*said);
     for (const auto& [i, a] : asks)
-      k += 'a' + std::to_string(i) + ' ' + std::to_string(a.sequence) + ' ' + std::to_string(a.taken) + ' ' +
-           std::to_string(a.have) + ' ' + std::to_string(a.ground) + ' ' + std::to_string(a.settled);
+      k += 'a' + std::to_string(i) + ' ' + std::to_string(a.sequence) + ' ' +
+           std::to_string(a.current_grant) + ' ' + std::to_string(a.newest_version) + ' ' +
+           std::to_string(a.baseline) + ' ' + std::to_string(a.settled_baseline);
     for (const auto& [i, g] : grants)
       k += 'g' + std::to_string(i) + ' ' + std::to_string(g.sequence) + ' ' + std::to_string(g.low) + ' ' +
-           std::to_string(g.high) + ' ' + std::to_string(g.ground ? g.ground->number : 0) + ' ' +
-           std::to_string(g.ground_next ? g.ground_next->number : 0) + ' ' +
+           std::to_string(g.high) + ' ' + std::to_string(g.baseline ? g.baseline->number : 0) + ' ' +
+           std::to_string(g.next_baseline ? g.next_baseline->number : 0) + ' ' +
            std::to_string(g.versions.size());
     for (const auto& [i, c] : clears)
       k += 'c' + std::to_string(i) + ' ' + std::to_string(c.low) + ' ' + std::to_string(c.out.at("n"));
@@ -121,8 +124,9 @@
 
 void confirm(State& s) {
   // The leader is the only voter here, and confirms itself at once.
-  if (const auto r = s.leader.round(s.now)) s.leader.confirmed(s.now, "v1", 1, *r, s.versions());
-  for (auto& g : s.leader.granted()) s.grants.emplace_back(g.to == "x" ? 0 : 1, std::move(g.grant));
+  if (const auto r = s.leader.start_round(s.now))
+    s.leader.handle_confirmation(s.now, "v1", 1, *r, s.versions());
+  for (auto& g : s.leader.take_grants()) s.grants.emplace_back(g.to == "x" ? 0 : 1, std::move(g.grant));
 }
 
 std::vector<State> after(const State& s) {
@@ -139,7 +143,7 @@
     if (s.asked[i] < askings && s.under_way() < kOnTheirWay) {
       State& n = next();
       ++n.asked[i];
-      n.asks.emplace_back(static_cast<int>(i), n.holders[i].ask(n.now));
+      n.asks.emplace_back(static_cast<int>(i), n.holders[i].make_request(n.now));
     }
     if (s.sent[i] < sends && !s.out_since[i] && s.allowed(i)) {
       State& n = next();
@@ -147,8 +151,8 @@
     }
     if (s.out_since[i]) next().out_since[i] = 0;
     // What it says of the node, under the lease it acts on at this moment.
-    const auto& acting = *s.holders[i].acting(s.now);
-    if (acting.low && acting.rules->at_work.count("n") && s.under_way() < kOnTheirWay) {
+    const auto& acting = *s.holders[i].active_config(s.now);
+    if (acting.low && acting.rules->endpoints_in_maintenance.count("n") && s.under_way() < kOnTheirWay) {
       State& n = next();
       maintenance::Clear c;
       c.low = acting.low, c.out["n"] = broken == 1 ? 0 : n.out_since[i] != 0;
@@ -163,7 +167,7 @@
     State& n = next();
     const auto [i, ask] = n.asks[m];
     without(n.asks, m);
-    n.leader.asked(n.now, kNames[i], ask);
+    n.leader.handle_request(n.now, kNames[i], ask);
     confirm(n);
   }
   for (std::size_t m = 0; m < s.grants.size(); ++m) {
@@ -171,7 +175,7 @@
     State& n = next();
     const auto [i, grant] = n.grants[m];
     without(n.grants, m);
-    n.holders[static_cast<std::size_t>(i)].answered(n.now, grant);
+    n.holders[static_cast<std::size_t>(i)].handle_grant(n.now, grant);
   }
   for (std::size_t m = 0; m < s.clears.size(); ++m) {
     without(next().clears, m);
@@ -180,27 +184,27 @@
     without(n.clears, m);
     n.conduct.heard(n.now, kNames[i], clear);
   }
-  const auto decided = [&](Entry::Kind kind, std::uint64_t number) {
-    Entry e;
+  const auto decided = [&](ConfigEntry::Kind kind, std::uint64_t number) {
+    ConfigEntry e;
     e.kind = kind, e.number = number;
     return book_after(s.book, e);
   };
   if (!s.force)
-    if (const auto f = s.leader.may_force(s.now, s.versions())) next().force = f;
+    if (const auto f = s.leader.activatable_version(s.now, s.versions())) next().force = f;
   if (s.force) {
     State& n = next();
-    n.book = decided(Entry::Kind::force, s.force), n.force = 0;
+    n.book = decided(ConfigEntry::Kind::kActivateVersion, s.force), n.force = 0;
   }
-  if (!s.force_ground && s.versions().ground_next() && s.leader.may_force_ground(s.versions()))
-    next().force_ground = s.versions().ground_next()->number;
+  if (!s.force_ground && s.versions().next_baseline() && s.leader.may_activate_baseline(s.versions()))
+    next().force_ground = s.versions().next_baseline()->number;
   if (s.force_ground) {
     State& n = next();
-    n.book = decided(Entry::Kind::force_ground, s.force_ground), n.force_ground = 0;
+    n.book = decided(ConfigEntry::Kind::kActivateBaseline, s.force_ground), n.force_ground = 0;
   }
   if (!s.said) {
     State& n = next();
     maintenance::Seen seen;
-    seen.facts = facts(), seen.held = n.leader.held();
+    seen.facts = facts(), seen.held = n.leader.brokers();
     n.said = n.conduct.lead(n.now, 0, n.versions(), seen);
     if (!n.said && n.key() == s.key()) all.pop_back();
   } else {
@@ -212,8 +216,8 @@
     State& n = next();
     ++n.leaders_gone, n.said.reset(), n.force = n.force_ground = 0;
     n.conduct = maintenance::Conduct(conduct_terms(), "v1");
-    n.leader = Leases(lease_terms());
-    n.leader.leads(n.now, 1, kVoters, "v1");
+    n.leader = LeaseManager(lease_terms());
+    n.leader.start_term(n.now, 1, kVoters, "v1");
   }
   return all;
 }
@@ -230,14 +234,14 @@
   }
   books.emplace_back(std::make_shared<maintenance::Works>());
   State first;
-  const auto begun = [&](Entry e) { first.book = book_after(first.book, std::move(e)); };
+  const auto begun = [&](ConfigEntry e) { first.book = book_after(first.book, std::move(e)); };
   for (std::size_t i = 0; i < brokers; ++i) {
-    Entry e;
-    e.kind = Entry::Kind::enlist, e.name = kNames[i];
+    ConfigEntry e;
+    e.kind = ConfigEntry::Kind::kEnrollBroker, e.name = kNames[i];
     begun(e);
   }
-  Entry e;
-  e.kind = Entry::Kind::board;
+  ConfigEntry e;
+  e.kind = ConfigEntry::Kind::kStateMachine;
   maintenance::Op op;
   op.facts = facts();
   e.text = maintenance::encode(op);
@@ -247,12 +251,13 @@
   op.request->machine = "machine", op.request->nodes = {"n"}, op.request->length = kSecond;
   e.text = maintenance::encode(op);
   begun(e);
-  first.leader.leads(first.now - lease_terms().span(), 1, kVoters, "v1");
+  first.leader.start_term(first.now - lease_terms().lease_duration(), 1, kVoters, "v1");
   bool handed = false, by_word = false, by_time = false;
   const Explored all = explore(first, true, after, [&](const State& s) {
     if (s.work().step != maintenance::Step::at_work) return;
     handed = true;
-    for (std::size_t i = 0; i < brokers; ++i) (s.holders[i].until() > s.now ? by_word : by_time) = true;
+    for (std::size_t i = 0; i < brokers; ++i)
+      (s.holders[i].lease_expires_at() > s.now ? by_word : by_time) = true;
   });
   if (broken) {
     std::printf("with a defence out: %s\n",
--- a/tests/zones.cpp
+++ b/tests/zones.cpp
@@ -210,7 +210,7 @@
         double in = 0;
         for (const Place& h : places) {
           if (h.zone == t.zone) continue;
-          const int most = f.shares.of(h.zone, t.zone);
+          const int most = f.shares.thousandths(h.zone, t.zone);
           below += most < terms.ground;
           in += h.wanted * (most - (t.takes_in && !cut.count({h.zone, t.zone}) ? 0 : terms.ground)) / 1000.0;
         }
