--- a/src/shared_config/endpoint_gossip.h
+++ b/src/shared_config/endpoint_gossip.h
@@ -26,10 +26,12 @@
   bool operator==(const EndpointNotice&) const = default;
 };
 
+// The notices that a broker knows, compared with its own list.
 class EndpointGossip {
  public:
-  // Reads the own list: one call of `begins`, one of `node` for each endpoint, one of `ends`. `whole`: the
-  // list is complete, so a known endpoint that it doesn't name is gone; otherwise it holds changes only.
+  // Reads the own list: one call of `begin_list`, one of `add_endpoint` for each endpoint, one of `end_list`.
+  // `whole`: the list is complete, so a known endpoint that it doesn't name is gone; otherwise it holds
+  // changes only.
   void begin_list(std::uint64_t revision, bool whole);
   void add_endpoint(const std::string& name, Time started, bool ready, bool gone);
   // Returns the endpoints that a complete list no longer names.
--- a/src/shared_config/leases.cpp
+++ b/src/shared_config/leases.cpp
@@ -5,9 +5,9 @@
 
 namespace cairnhub::shared_config {
 
-LeaseClient::LeaseClient(const LeaseSettings& terms, RuleSet ground, std::uint32_t life)
-    : settings_(terms), sequence_(std::uint64_t{life} << 32) {
-  baseline_.rules = std::make_shared<const RuleSet>(std::move(ground));
+LeaseClient::LeaseClient(const LeaseSettings& settings, RuleSet baseline, std::uint32_t incarnation)
+    : settings_(settings), sequence_(std::uint64_t{incarnation} << 32) {
+  baseline_.rules = std::make_shared<const RuleSet>(std::move(baseline));
   rebuild_baseline();
 }
 
@@ -20,8 +20,8 @@
   baseline_config_ = std::move(config);
 }
 
-void LeaseClient::restore_baseline(const Version& ground) {
-  baseline_ = ground;
+void LeaseClient::restore_baseline(const Version& baseline) {
+  baseline_ = baseline;
   rebuild_baseline();
 }
 
@@ -48,7 +48,7 @@
   const Time requested_at = request->second;
   request_times_.erase(request_times_.begin(), std::next(request));
   const auto have_before = newest_version_;
-  const auto ground_before = baseline_.number;
+  const auto baseline_before = baseline_.number;
   const auto next_before = next_baseline_ ? next_baseline_->number : 0;
   for (const Version& v : g.versions) versions_[v.number] = v;
   // Grants may arrive out of order. A grant from before a next baseline existed must not bring back the
@@ -96,7 +96,7 @@
     versions_.erase(versions_.begin(), versions_.lower_bound(g.low - VersionHistory::kMaxOldVersions));
   next_request_ = requested_at + settings_.renew_interval();
   // A change is acknowledged at once; if that waited for the next renewal, every change would take that long.
-  if (!same || baseline_.number != ground_before ||
+  if (!same || baseline_.number != baseline_before ||
       (next_baseline_ ? next_baseline_->number : 0) != next_before)
     next_request_ = now;
   return true;
@@ -178,24 +178,24 @@
   round_in_progress_ = false;
 }
 
-void LeaseManager::handle_request(Time now, const std::string& by, const LeaseRequest& ask) {
+void LeaseManager::handle_request(Time now, const std::string& by, const LeaseRequest& request) {
   if (!is_leading_) return;
-  if (ask.releases_lease) return release(by);
+  if (request.releases_lease) return release(by);
   if (brokers_.size() >= VersionHistory::kMaxBrokers && !brokers_.count(by)) return;
   BrokerState& h = brokers_[by];
   // A restarted broker may keep to another baseline than its previous process: a late request of that process
   // doesn't count.
-  if (const std::uint64_t incarnation = ask.sequence >> 32; incarnation != h.incarnation) {
+  if (const std::uint64_t incarnation = request.sequence >> 32; incarnation != h.incarnation) {
     if (incarnation != 0 && incarnation == h.previous_incarnation) return;
     h.previous_incarnation = std::exchange(h.incarnation, incarnation);
   }
-  h.may_vote = ask.may_vote;
-  h.voter_id = ask.voter_id;
+  h.may_vote = request.may_vote;
+  h.voter_id = request.voter_id;
   std::erase_if(h.outstanding, [&](const OutstandingGrant& o) {
-    return o.sequence < ask.current_grant || o.expires_at <= now;
+    return o.sequence < request.current_grant || o.expires_at <= now;
   });
-  h.baseline = ask.baseline;  // may decrease: a restarted broker may know no baseline
-  waiting_requests_[by] = ask;
+  h.baseline = request.baseline;  // may decrease: a restarted broker may know no baseline
+  waiting_requests_[by] = request;
 }
 
 void LeaseManager::release(const std::string& name) {
@@ -227,23 +227,23 @@
   for (const auto& [name, ask] : std::exchange(round_requests_, {})) grant(now, name, ask, versions);
 }
 
-void LeaseManager::grant(Time now, const std::string& to, const LeaseRequest& ask,
+void LeaseManager::grant(Time now, const std::string& to, const LeaseRequest& request,
                          const VersionHistory& versions) {
   LeaseGrant g;
-  g.sequence = ask.sequence;
+  g.sequence = request.sequence;
   g.term = term_;
-  if (ask.newest_version >= versions.newest()) {
+  if (request.newest_version >= versions.newest()) {
     g.low = versions.in_force();
     g.high = versions.newest();
   }
   // The versions that the broker lacks. A broker without any gets the old ones too, so that operators can
   // read the history at any broker.
-  for (auto it = versions.versions().lower_bound(ask.newest_version + 1); it != versions.versions().end();
+  for (auto it = versions.versions().lower_bound(request.newest_version + 1); it != versions.versions().end();
        ++it)
     g.versions.push_back(it->second);
   const std::uint64_t baseline =
       versions.next_baseline() ? versions.next_baseline()->number : versions.baseline().number;
-  if (ask.baseline != baseline || ask.settled_baseline != (versions.next_baseline() ? 0 : baseline)) {
+  if (request.baseline != baseline || request.settled_baseline != (versions.next_baseline() ? 0 : baseline)) {
     g.baseline = versions.baseline();
     g.next_baseline = versions.next_baseline();
   }
@@ -255,7 +255,7 @@
       h.outstanding[1].high = std::min(h.outstanding[0].high, h.outstanding[1].high);
       h.outstanding.erase(h.outstanding.begin());
     }
-    h.outstanding.push_back({ask.sequence, g.high, now + settings_.leader_duration()});
+    h.outstanding.push_back({request.sequence, g.high, now + settings_.leader_duration()});
   }
   grants_.push_back({to, std::move(g)});
 }
--- a/src/shared_config/leases.h
+++ b/src/shared_config/leases.h
@@ -1,8 +1,8 @@
 // Leases: which versions of the rules a broker may act on, and until when. No I/O and no clock.
 //
 // The client counts a lease from the moment of its request and the leader from the moment of its grant, each
-// on its own monotonic clock, whose rate is within `drift` of true time. A client with a lease (low, high)
-// acts on the meet of the versions from low to high; a client without one acts on the baseline.
+// on its own monotonic clock, whose rate is within `max_clock_drift` of true time. A client with a lease
+// (low, high) acts on the meet of the versions from low to high; a client without one acts on the baseline.
 //
 // The leader issues a grant only after a majority of voters has confirmed its leadership since the request
 // arrived. No grant ends below the newest version. A version takes effect only after every lease that ends
@@ -27,7 +27,7 @@
 struct LeaseSettings {
   Time max_divergence = 2 * kSecond;  // the longest time that two brokers may act on contradicting versions
   double max_clock_drift = 0.01;      // the largest error of a clock's rate, as a share
-  // The duration of a lease in true time. The rest of the stated time covers the commits before and after it.
+  // The duration of a lease in true time. The rest of `max_divergence` covers the commits around it.
   Time lease_duration() const { return max_divergence * 6 / 10; }
   Time client_duration() const {
     return static_cast<Time>(static_cast<double>(lease_duration()) * (1 - max_clock_drift));
@@ -42,8 +42,8 @@
 // A broker's request for a lease.
 struct LeaseRequest {
   std::uint64_t sequence = 0;  // upper half: incarnation of the process; lower half: a counter
-  std::uint64_t current_grant =
-      0;  // sequence of the grant that it acts under; it never returns to an earlier one
+  // Sequence of the grant that the broker acts under; it never returns to an earlier one.
+  std::uint64_t current_grant = 0;
   std::uint64_t newest_version = 0;    // the newest version whose content it holds
   std::uint64_t baseline = 0;          // the newest baseline that it keeps to, settled or next
   std::uint64_t settled_baseline = 0;  // the newest baseline that it knows to be settled
@@ -74,10 +74,10 @@
 // The lease client of each broker.
 class LeaseClient {
  public:
-  // `life` is the incarnation of the process; it grows with each restart. Without it, a grant to a request of
-  // an earlier process could be accepted: that lease would be unknown to the leader, and the grant would omit
-  // a baseline that only the earlier process had received.
-  LeaseClient(const LeaseSettings& terms, RuleSet ground, std::uint32_t life = 0);
+  // `incarnation` is the incarnation of the process; it grows with each restart. Without it, a grant to a
+  // request of an earlier process could be accepted: that lease would be unknown to the leader, and the grant
+  // would omit a baseline that only the earlier process had received.
+  LeaseClient(const LeaseSettings& settings, RuleSet baseline, std::uint32_t incarnation = 0);
 
   // Returns the configuration in effect at `now`. Cheap, as it is called before each operation.
   const std::shared_ptr<const ActiveConfig>& active_config(Time now) const {
@@ -95,7 +95,7 @@
   void request_soon(Time now) { next_request_ = std::min(next_request_, now); }
   void release() { lease_expires_at_ = 0; }
   // Restores the baseline that an earlier process stored. To be called before the first request.
-  void restore_baseline(const Version& ground);
+  void restore_baseline(const Version& baseline);
   const Version& baseline() const { return baseline_; }
   const std::optional<Version>& next_baseline() const { return next_baseline_; }
   // The rules in effect without a lease.
@@ -127,16 +127,16 @@
 // The lease manager at the leader.
 class LeaseManager {
  public:
-  explicit LeaseManager(const LeaseSettings& terms) : settings_(terms) {}
+  explicit LeaseManager(const LeaseSettings& settings) : settings_(settings) {}
 
   // Starts a term as leader. Leases of earlier leaders may last for one lease duration from now.
   void start_term(Time now, std::uint64_t term, std::set<std::string> voters, const std::string& self);
   void stop_leading() { is_leading_ = false; }
   void set_voters(std::set<std::string> voters) { voters_ = std::move(voters); }
 
-  // Handles the request of any broker, this one included. `granted` returns the answer once a majority has
-  // confirmed this leader.
-  void handle_request(Time now, const std::string& by, const LeaseRequest& ask);
+  // Handles the request of any broker, this one included. `take_grants` returns the answer once a majority
+  // has confirmed this leader.
+  void handle_request(Time now, const std::string& by, const LeaseRequest& request);
   // Drops the lease that a broker handed back.
   void release(const std::string& name);
   // Starts a round of confirmation by the voters if requests wait for one; returns its number.
@@ -157,7 +157,7 @@
   // The brokers that the newest version, or the next baseline, still waits for. For operators.
   std::vector<std::string> brokers_delaying_version(Time now, const VersionHistory& versions) const;
   std::vector<std::string> brokers_delaying_baseline(const VersionHistory& versions) const;
-  // Returns when `may_force` may change without a message; kNever if no version waits.
+  // Returns when `activatable_version` may change without a message; kNever if no version waits.
   Time next_wake(Time now, const VersionHistory& versions) const;
 
   // An issued grant. A grant may get lost, and its receiver then continues under an earlier one: each counts
@@ -171,7 +171,7 @@
   struct BrokerState {
     std::vector<OutstandingGrant> outstanding;  // oldest first
     std::uint64_t baseline = 0;
-    std::uint64_t incarnation = 0;           // its incarnation
+    std::uint64_t incarnation = 0;
     std::uint64_t previous_incarnation = 0;  // delayed requests of the previous incarnation are ignored
     bool has_lease(Time now) const { return !outstanding.empty() && outstanding.back().expires_at > now; }
     // Returns the lowest end of its unexpired leases; UINT64_MAX if there are none.
@@ -180,18 +180,18 @@
     std::uint64_t voter_id = 0;
   };
   const std::map<std::string, BrokerState>& brokers() const { return brokers_; }
-  // As Holder::describe.
+  // As LeaseClient::append_state.
   void append_state(Time now, std::string& into) const;
 
  private:
-  void grant(Time now, const std::string& to, const LeaseRequest& ask, const VersionHistory& versions);
+  void grant(Time now, const std::string& to, const LeaseRequest& request, const VersionHistory& versions);
   LeaseSettings settings_;
   bool is_leading_ = false;
   std::uint64_t term_ = 0;
   Time earlier_leases_expire_at_ = 0;  // when the leases of earlier leaders have expired
   std::set<std::string> voters_;
   std::string self_;
-  std::map<std::string, BrokerState> brokers_;            // by broker; at most Versions::kRoster
+  std::map<std::string, BrokerState> brokers_;            // by broker; at most VersionHistory::kMaxBrokers
   std::map<std::string, LeaseRequest> waiting_requests_;  // requests for the next round, by broker
   std::map<std::string, LeaseRequest> round_requests_;    // requests of the current round, by broker
   std::uint64_t round_ = 0;
--- a/src/shared_config/rule_set.h
+++ b/src/shared_config/rule_set.h
@@ -38,8 +38,8 @@
 // within a zone are never restricted.
 struct ZoneShares {
   int default_thousandths = 1000;  // for pairs that are not listed
-  std::map<std::pair<std::string, std::string>, int>
-      thousandths_by_pair;  // key: (from, to); holds no entry that equals the default
+  // By (from, to); holds no entry that equals the default.
+  std::map<std::pair<std::string, std::string>, int> thousandths_by_pair;
   // Returns the share of the pair, in thousandths.
   int thousandths(const std::string& from, const std::string& to) const;
   void set_thousandths(const std::string& from, const std::string& to, int thousandths);
@@ -56,8 +56,7 @@
   std::set<std::string> withheld_endpoints;                 // endpoints that receive no new attempts
   std::uint64_t min_list_revision = 0;                      // endpoint lists of a lower revision are ignored
   ZoneShares zone_shares;
-  std::set<std::string>
-      endpoints_in_maintenance;  // endpoints that maintenance has taken out of service or is taking out
+  std::set<std::string> endpoints_in_maintenance;  // out of service for maintenance, or on the way out
   bool operator==(const RuleSet&) const = default;
 
   // Returns the restrictions of a request class; the default ones if it has no entry.
@@ -75,7 +74,7 @@
 struct RuleSetError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
-// Parses rules in protobuf text format. `file` names the source in errors. Throws RulesError.
+// Parses rules in protobuf text format. `file` names the source in errors. Throws RuleSetError.
 RuleSet parse_rule_set(const std::string& text, const std::string& file);
 // Returns the canonical text form: equal rule sets have equal texts.
 std::string canonical_text(const RuleSet& rules);
--- a/src/shared_config/shared_config_node.cpp
+++ b/src/shared_config/shared_config_node.cpp
@@ -15,21 +15,21 @@
 
 }  // namespace
 
-SharedConfigNode::SharedConfigNode(const SharedConfigSettings& terms, const std::string& self, Store* store,
-                                   RuleSet ground, std::uint64_t seed,
-                                   std::shared_ptr<const ReplicatedStateMachine> board)
-    : settings_(terms),
+SharedConfigNode::SharedConfigNode(const SharedConfigSettings& settings, const std::string& self,
+                                   Store* store, RuleSet baseline, std::uint64_t seed,
+                                   std::shared_ptr<const ReplicatedStateMachine> state_machine)
+    : settings_(settings),
       self_(self),
       random_(seed),
-      lease_client_(terms.lease, std::move(ground), terms.incarnation),
-      lease_manager_(terms.lease) {
+      lease_client_(settings.lease, std::move(baseline), settings.incarnation),
+      lease_manager_(settings.lease) {
   if (store)
     raft_node_ = std::make_unique<Engine>(
-        terms.raft, self, *store, seed + 1,
+        settings.raft, self, *store, seed + 1,
         [this](const ConfigEntry& e, const ApplyResult& v) {
           if (on_applied) on_applied(e, v);
         },
-        std::move(board));
+        std::move(state_machine));
 }
 
 SharedConfigNode::~SharedConfigNode() = default;
@@ -83,10 +83,10 @@
 }
 
 void SharedConfigNode::request_lease(Time now) {
-  LeaseRequest a = lease_client_.make_request(now);
-  a.may_vote = raft_node_ && !raft_node_->broken();
-  a.voter_id = a.may_vote ? raft_node_->id() : 0;
-  if (raft_node_ && raft_node_->leads()) return handle_lease_request(now, self_, a);
+  LeaseRequest request = lease_client_.make_request(now);
+  request.may_vote = raft_node_ && !raft_node_->broken();
+  request.voter_id = request.may_vote ? raft_node_->id() : 0;
+  if (raft_node_ && raft_node_->leads()) return handle_lease_request(now, self_, request);
   if (raft_node_ && !raft_node_->leader().empty() && raft_node_->leader() != self_)
     leader_ = raft_node_->leader();
   if (leader_ == self_ || ++unanswered_requests_ > kMaxUnansweredRequests) leader_.clear();
@@ -94,18 +94,18 @@
   if (to.empty() || to == self_) return lease_client_.handle_not_leader(now);
   accord::wire::Packet p;
   auto& w = *p.mutable_ask();
-  w.set_sequence(a.sequence);
-  w.set_have(a.newest_version);
-  w.set_ground(a.baseline);
-  w.set_settled(a.settled_baseline);
-  w.set_taken(a.current_grant);
-  w.set_may_vote(a.may_vote);
-  w.set_voter_id(a.voter_id);
+  w.set_sequence(request.sequence);
+  w.set_have(request.newest_version);
+  w.set_ground(request.baseline);
+  w.set_settled(request.settled_baseline);
+  w.set_taken(request.current_grant);
+  w.set_may_vote(request.may_vote);
+  w.set_voter_id(request.voter_id);
   post(to, p);
 }
 
-void SharedConfigNode::handle_lease_request(Time now, const std::string& by, const LeaseRequest& ask) {
-  if (ask.releases_lease) return lease_manager_.release(by);
+void SharedConfigNode::handle_lease_request(Time now, const std::string& by, const LeaseRequest& request) {
+  if (request.releases_lease) return lease_manager_.release(by);
   // Only enrolled brokers get leases, as a next baseline waits for enrolled brokers only.
   if (!raft_node_->versions().enrolled_brokers().count(by)) {
     if (!enrolling_.insert(by).second) return;
@@ -115,7 +115,7 @@
     if (!raft_node_->propose(now, e, [this, by](const auto&) { enrolling_.erase(by); })) enrolling_.erase(by);
     return;
   }
-  lease_manager_.handle_request(now, by, ask);
+  lease_manager_.handle_request(now, by, request);
   start_confirmation_round(now);
 }
 
@@ -313,11 +313,11 @@
     if (!raft_node_->propose(now, e, [this](const auto&) { baseline_activation_in_progress_ = false; }))
       baseline_activation_in_progress_ = false;
   }
-  const std::uint64_t ground = versions.baseline().number * 2 + (versions.next_baseline() ? 1 : 0);
-  const std::uint64_t newest = versions.newest() + versions.in_force();
-  if (newest != announced_versions_ || ground != announced_baseline_) {
-    announced_versions_ = newest;
-    announced_baseline_ = ground;
+  const std::uint64_t baseline = versions.baseline().number * 2 + (versions.next_baseline() ? 1 : 0);
+  const std::uint64_t version_state = versions.newest() + versions.in_force();
+  if (version_state != announced_versions_ || baseline != announced_baseline_) {
+    announced_versions_ = version_state;
+    announced_baseline_ = baseline;
     accord::wire::Packet news;
     news.mutable_grant()->set_sequence(0);
     for (const auto& [name, held] : lease_manager_.brokers())
--- a/src/shared_config/shared_config_node.h
+++ b/src/shared_config/shared_config_node.h
@@ -56,16 +56,18 @@
   std::vector<std::string> brokers_delaying_baseline;
 };
 
+// One broker's node of the shared configuration.
 class SharedConfigNode {
  public:
-  // `store`: null for a broker that never votes. `ground`: the baseline until a stored or received one
-  // replaces it. `board`: the initial state of the additional state machine, if the log drives one.
-  SharedConfigNode(const SharedConfigSettings& terms, const std::string& self, Store* store, RuleSet ground,
-                   std::uint64_t seed, std::shared_ptr<const ReplicatedStateMachine> board = nullptr);
+  // `store`: null for a broker that never votes. `baseline`: used until a stored or received one
+  // replaces it. `state_machine`: the initial state of the additional state machine, if the log drives one.
+  SharedConfigNode(const SharedConfigSettings& settings, const std::string& self, Store* store,
+                   RuleSet baseline, std::uint64_t seed,
+                   std::shared_ptr<const ReplicatedStateMachine> state_machine = nullptr);
   ~SharedConfigNode();
 
   void start(Time now);
-  // To be called at the time that `wake` returns.
+  // To be called at the time that `next_wake` returns.
   void handle_wake(Time now);
   Time next_wake() const;
   // Handles a message of the broker `from`.
@@ -83,7 +85,7 @@
   // True once any leader has answered this process.
   bool has_leader_answered() const { return has_leader_answered_; }
   // Restores the baseline that an earlier process stored. To be called before `start`.
-  void restore_baseline(const Version& ground) { lease_client_.restore_baseline(ground); }
+  void restore_baseline(const Version& baseline) { lease_client_.restore_baseline(baseline); }
 
   // Takes up what the membership protocol knows of another broker.
   void update_peer(Time now, const std::string& name, bool alive);
@@ -122,7 +124,7 @@
   void do_leader_work(Time now);
   void request_lease(Time now);
   void forward_proposals(Time now);
-  void handle_lease_request(Time now, const std::string& by, const LeaseRequest& ask);
+  void handle_lease_request(Time now, const std::string& by, const LeaseRequest& request);
   void start_confirmation_round(Time now);
   void repair_voters(Time now);
   std::string possible_leader();
--- a/src/shared_config/version_history.cpp
+++ b/src/shared_config/version_history.cpp
@@ -56,8 +56,8 @@
                      e.number()};
 }
 
-VersionHistory::VersionHistory(std::shared_ptr<const ReplicatedStateMachine> board)
-    : state_machine_(std::move(board)) {
+VersionHistory::VersionHistory(std::shared_ptr<const ReplicatedStateMachine> state_machine)
+    : state_machine_(std::move(state_machine)) {
   ConfigEntry first;
   first.who = "cairnhub";
   first.why = "what the platform's settings allow";
@@ -260,9 +260,9 @@
     read.versions_[version->number] = std::move(*version);
   }
   read.in_force_ = s.in_force();
-  auto ground = take(s.ground());
-  if (!ground || !read.versions_.count(read.in_force_)) return false;
-  read.baseline_ = std::move(*ground);
+  auto baseline = take(s.ground());
+  if (!baseline || !read.versions_.count(read.in_force_)) return false;
+  read.baseline_ = std::move(*baseline);
   if (s.has_ground_next() && !(read.next_baseline_ = take(s.ground_next()))) return false;
   read.enrolled_brokers_ = {s.roster().begin(), s.roster().end()};
   read.zone_shares_version_ = s.zones_from();
--- a/src/shared_config/version_history.h
+++ b/src/shared_config/version_history.h
@@ -41,15 +41,12 @@
     kProposeBaseline,     // a new baseline; rejected if another proposal changed its settings since `base`
     kActivateVersion,     // the version `number` takes effect
     kActivateBaseline,    // the next baseline, `number`, takes effect
-    kEnrollBroker,        // enrolls the broker `name`
-    kRemoveBroker,        // removes the broker `name`
-    kProposeZoneShares,   // the newest version with other zone shares and a note; `base` made the current
-                          // shares
+    kEnrollBroker,        // adds the broker `name` to the enrolled ones
+    kRemoveBroker,        // removes the broker `name` from the enrolled ones
+    kProposeZoneShares,   // the newest version with new zone shares and a note
     kSetZoneOrder,        // sets an operator's order on the zone `name`; an empty text clears it
-    kProposeMaintenance,  // the newest version with other endpoints in maintenance; `base` made the current
-                          // ones
-    kProposeBaselineMaintenance,  // the baseline with other endpoints in maintenance; `base` made the current
-                                  // ones
+    kProposeMaintenance,  // the newest version with a new set of endpoints in maintenance
+    kProposeBaselineMaintenance,  // the baseline with a new set of endpoints in maintenance
     kStateMachine                 // for the additional state machine
   };
   Kind kind = Kind::kProposeVersion;
@@ -59,6 +56,8 @@
   std::string why;
   std::string name;  // of a broker or a zone, by kind
   std::string note;
+  // The version or baseline that a proposal was made from. For zone shares and maintenance: the one that last
+  // changed them; any other one is rejected.
   std::uint64_t base = 0;
   std::uint64_t number = 0;
 };
@@ -92,10 +91,11 @@
   std::string why;
 };
 
+// The state that the entries of the log produce.
 class VersionHistory {
  public:
-  // `board`: the initial state of the additional state machine, if the log drives one.
-  explicit VersionHistory(std::shared_ptr<const ReplicatedStateMachine> board = nullptr);
+  // `state_machine`: the initial state of the additional state machine, if the log drives one.
+  explicit VersionHistory(std::shared_ptr<const ReplicatedStateMachine> state_machine = nullptr);
 
   // Applies one entry of the log.
   ApplyResult apply(const ConfigEntry& entry);
--- a/tests/grounds.cpp
+++ b/tests/grounds.cpp
@@ -81,7 +81,7 @@
   LeaseManager leader{terms()};
   std::uint64_t force = 0;         // proposed by the leader to take effect, not yet committed
   std::uint64_t force_ground = 0;  // the same for a baseline
-  std::vector<std::pair<int, LeaseRequest>> asks;
+  std::vector<std::pair<int, LeaseRequest>> requests;
   std::vector<std::pair<int, LeaseGrant>> grants;
 
   const VersionHistory& versions() const { return histories[static_cast<std::size_t>(history)]; }
@@ -96,7 +96,7 @@
       clients[i].append_state(now, k);
     }
     leader.append_state(now, k);
-    for (const auto& [i, a] : asks)
+    for (const auto& [i, a] : requests)
       k += 'a' + std::to_string(i) + ' ' + std::to_string(a.sequence) + ' ' +
            std::to_string(a.current_grant) + ' ' + std::to_string(a.newest_version) + ' ' +
            std::to_string(a.baseline) + ' ' + std::to_string(a.settled_baseline);
@@ -132,10 +132,10 @@
   const auto next = [&]() -> State& { return all.emplace_back(s); };
   if (s.now < end_at) ++next().now;
   for (std::size_t i = 0; i < brokers; ++i) {
-    if (s.requests_made[i] < max_requests && s.asks.size() + s.grants.size() < kMaxMessagesInFlight) {
+    if (s.requests_made[i] < max_requests && s.requests.size() + s.grants.size() < kMaxMessagesInFlight) {
       State& n = next();
       ++n.requests_made[i];
-      n.asks.emplace_back(static_cast<int>(i), n.clients[i].make_request(n.now));
+      n.requests.emplace_back(static_cast<int>(i), n.clients[i].make_request(n.now));
     }
     if (s.restarts_made[i] < max_restarts) {
       State& n = next();
@@ -150,13 +150,13 @@
       // Messages from and to the earlier process may still arrive.
     }
   }
-  for (std::size_t m = 0; m < s.asks.size(); ++m) {
+  for (std::size_t m = 0; m < s.requests.size(); ++m) {
     State& lost = next();
-    lost.asks.erase(lost.asks.begin() + static_cast<std::ptrdiff_t>(m));
+    lost.requests.erase(lost.requests.begin() + static_cast<std::ptrdiff_t>(m));
     State& n = next();
-    const auto [i, ask] = n.asks[m];
-    n.asks.erase(n.asks.begin() + static_cast<std::ptrdiff_t>(m));
-    n.leader.handle_request(n.now, kNames[i], ask);
+    const auto [i, request] = n.requests[m];
+    n.requests.erase(n.requests.begin() + static_cast<std::ptrdiff_t>(m));
+    n.leader.handle_request(n.now, kNames[i], request);
     // The leader is the only voter of the model and confirms itself at once.
     if (const auto r = n.leader.start_round(n.now))
       n.leader.handle_confirmation(n.now, "v1", 1, *r, n.versions());
--- a/tests/leases.cpp
+++ b/tests/leases.cpp
@@ -56,7 +56,7 @@
 struct SentRequest {
   int client;
   int leader;
-  LeaseRequest ask;
+  LeaseRequest request;
 };
 struct SentGrant {
   int client;
@@ -74,7 +74,7 @@
   std::uint64_t forcing = 0;           // proposed to take effect, not committed; 0: none
   History old_history;                 // as of the first leader's deposition
   int requests_made[kClients] = {0, 0};
-  std::vector<SentRequest> asks;
+  std::vector<SentRequest> requests;
   std::vector<SentGrant> grants;
 
   std::string key() const {
@@ -89,8 +89,9 @@
       clients[static_cast<std::size_t>(i)].append_state(now, k);
     }
     for (const LeaseManager& l : leaders) l.append_state(now, k);
-    for (const SentRequest& a : asks)
-      k += 'a' + std::to_string(a.client) + std::to_string(a.leader) + ' ' + std::to_string(a.ask.sequence);
+    for (const SentRequest& a : requests)
+      k += 'a' + std::to_string(a.client) + std::to_string(a.leader) + ' ' +
+           std::to_string(a.request.sequence);
     for (const SentGrant& g : grants)
       k += 'g' + std::to_string(g.client) + ' ' + std::to_string(g.grant.sequence) + ' ' +
            std::to_string(g.grant.low) + ' ' + std::to_string(g.grant.high);
@@ -124,17 +125,17 @@
     if (s.requests_made[i] >= max_requests[i]) continue;
     State& n = next();
     ++n.requests_made[i];
-    n.asks.push_back({i, n.leader, n.clients[static_cast<std::size_t>(i)].make_request(n.now)});
+    n.requests.push_back({i, n.leader, n.clients[static_cast<std::size_t>(i)].make_request(n.now)});
   }
-  for (std::size_t m = 0; m < s.asks.size(); ++m) {  // a message that stays in the list is a lost one
+  for (std::size_t m = 0; m < s.requests.size(); ++m) {  // a message that stays in the list is a lost one
     State& n = next();
-    const SentRequest a = n.asks[m];
-    n.asks.erase(n.asks.begin() + static_cast<std::ptrdiff_t>(m));
+    const SentRequest a = n.requests[m];
+    n.requests.erase(n.requests.begin() + static_cast<std::ptrdiff_t>(m));
     LeaseManager& l = n.leaders[static_cast<std::size_t>(a.leader)];
-    LeaseRequest ask = a.ask;
+    LeaseRequest request = a.request;
     if (disabled_safeguard == 1)
-      ask.current_grant = ask.sequence;  // as if the client had taken up every grant
-    l.handle_request(n.now, kNames[a.client], ask);
+      request.current_grant = request.sequence;  // as if the client had taken up every grant
+    l.handle_request(n.now, kNames[a.client], request);
     if (const auto r = l.start_round(n.now)) {
       n.round[a.leader] = *r;
       n.confirmed[a.leader] = false;
