--- a/fuzz/messages.cpp
+++ b/fuzz/messages.cpp
@@ -61,10 +61,13 @@
       }
       break;
     case 7:
-      if (const auto m = maintenance::decode(text)) {
-        const auto again = maintenance::decode(maintenance::encode(*m));
-        must(again && again->stand_down == m->stand_down && again->clear.has_value() == m->clear.has_value());
-        if (m->clear) must(again->clear->out == m->clear->out && again->clear->low == m->clear->low);
+      if (const auto m = maintenance::decode_message(text)) {
+        const auto again = maintenance::decode_message(maintenance::encode_message(*m));
+        must(again && again->stop_for_job == m->stop_for_job &&
+             again->open_attempts.has_value() == m->open_attempts.has_value());
+        if (m->open_attempts)
+          must(again->open_attempts->by_endpoint == m->open_attempts->by_endpoint &&
+               again->open_attempts->lease_low_version == m->open_attempts->lease_low_version);
       }
       break;
     case 8: {
@@ -72,15 +75,15 @@
       shared_config::ConfigEntry e;
       e.kind = shared_config::ConfigEntry::Kind::kStateMachine;
       e.text = "facts { cells: 3 width: 2 terms { at_once: 1 } node { name: \"n\" ready: true warm: true } }";
-      shared_config::VersionHistory book(std::make_shared<maintenance::Works>());
+      shared_config::VersionHistory book(std::make_shared<maintenance::JobQueue>());
       must(book.apply(e).number != 0);
       e.text = std::string(text);
       const auto v = book.apply(e);
       must(v.number != 0 || !v.rejection.empty());
-      shared_config::VersionHistory copy(std::make_shared<maintenance::Works>());
+      shared_config::VersionHistory copy(std::make_shared<maintenance::JobQueue>());
       must(copy.restore(book.snapshot()) &&
            copy.state_machine()->snapshot() == book.state_machine()->snapshot());
-      maintenance::Works().restore(text);
+      maintenance::JobQueue().restore(text);
       break;
     }
     case 3: {
@@ -99,10 +102,11 @@
     case 6:
       if (const auto r = zone_failover::decode(text)) {
         const auto again = zone_failover::decode(zone_failover::encode(*r));
-        must(again && again->zones.size() == r->zones.size() && again->home == r->home);
-        zone_failover::Evidence e({});
-        e.heard(kSecond, "other", *r);
-        for (const auto& [name, zone] : e.look(kSecond).zones) must(zone.bears >= 0 && zone.bears <= 1);
+        must(again && again->zones.size() == r->zones.size() && again->home_zone == r->home_zone);
+        zone_failover::ZoneHealthEvaluator e({});
+        e.add_report(kSecond, "other", *r);
+        for (const auto& [name, zone] : e.evaluate(kSecond).zones)
+          must(zone.sustainable_share >= 0 && zone.sustainable_share <= 1);
       }
       break;
     default: {
--- a/src/cluster/admin_api.cpp
+++ b/src/cluster/admin_api.cpp
@@ -168,17 +168,17 @@
        orders = json::object();
   const auto& limits = fleet_.zones();
   for (std::size_t i = 0; i < limits.size(); ++i)
-    acts[z.name_of(static_cast<int>(i))] = static_cast<int>(1000 * limits[i].max_share + 0.5);
+    acts[z.zone_name(static_cast<int>(i))] = static_cast<int>(1000 * limits[i].max_share + 0.5);
   if (at != held.end())
-    for (const auto& note = zone_failover::parse_note(at->second.note);
+    for (const auto& note = zone_failover::parse_decision(at->second.note);
          const auto* all : {&note.zones, &note.regions})
       for (const auto& [name, one] : *all)
         states[all == &note.zones ? name : zone_failover::region_key(name)] = {
-            {"state", zone_failover::name_of(one.state)}, {"share", one.share}};
+            {"state", zone_failover::name_of(one.state)}, {"share", one.local_share_thousandths}};
   for (const auto& [pair, most] : rules.zone_shares.thousandths_by_pair)
     shares.push_back({{"from", pair.first}, {"to", pair.second}, {"most", most}});
   json out{{"name", fleet_.options().name},
-           {"home", z.terms().home},
+           {"home", z.options().home_zone},
            {"leader", s.leader},
            {"leads", s.is_leader || own},
            {"version", own ? own->newest() : s.active_config.high},
@@ -191,21 +191,22 @@
   for (const auto& e : z.explain())
     seen.push_back({{"zone", e.zone},
                     {"state", zone_failover::name_of(e.state)},
-                    {"share", e.share},
-                    {"ordered", e.ordered},
-                    {"looks", zone_failover::name_of(e.view.look)},
-                    {"why", e.view.why},
-                    {"wanted", e.view.wanted},
-                    {"load", e.view.load},
-                    {"capacity", e.view.capacity},
-                    {"hosts", e.view.hosts},
-                    {"brokers", e.view.brokers}});
+                    {"share", e.local_share_thousandths},
+                    {"ordered", e.order},
+                    {"looks", zone_failover::name_of(e.health.status)},
+                    {"why", e.health.reason},
+                    {"wanted", e.health.demand_per_second},
+                    {"load", e.health.load_per_second},
+                    {"capacity", e.health.capacity_per_second},
+                    {"hosts", e.health.endpoints_in_service},
+                    {"brokers", e.health.reporting_brokers}});
   json cut = json::array();
-  for (const auto& [from, to] : z.view().cut) cut.push_back({{"from", from}, {"to", to}});
+  for (const auto& [from, to] : z.health_view().broken_links) cut.push_back({{"from", from}, {"to", to}});
   for (const auto& [zone, o] : (own ? *own : fleet_.accord()->raft_node()->versions()).zone_orders())
     orders[zone] = {{"what", o.action}, {"who", o.who}, {"why", o.why}};
-  out["seen"] = seen, out["cut"] = cut, out["outvoted"] = z.view().outvoted, out["orders"] = orders;
-  out["next"] = z.why();
+  out["seen"] = seen, out["cut"] = cut, out["outvoted"] = z.health_view().outvoted_brokers,
+  out["orders"] = orders;
+  out["next"] = z.reason();
   return text(out);
 }
 
@@ -215,27 +216,29 @@
   const auto& c = *fleet_.crossing();
   const auto& names = fleet_.op_types();
   json table = json::array(), budgets = json::array();
-  for (const auto& [key, t] : c.table())
-    table.push_back({{"zone", z.name_of(key.first)},
+  for (const auto& [key, t] : c.counters())
+    table.push_back({{"zone", z.zone_name(key.first)},
                      {"crosses", key.first != 0},
                      {"op_type", key.second < 0 ? "" : names.at(static_cast<std::size_t>(key.second))},
-                     {"parts", t.parts},
-                     {"out", t.out},
-                     {"in", t.in},
-                     {"parts_over_budget", t.parts_over},
-                     {"bytes_over_budget", t.over}});
+                     {"parts", t.attempts},
+                     {"out", t.bytes_out},
+                     {"in", t.bytes_in},
+                     {"parts_over_budget", t.attempts_over_budget},
+                     {"bytes_over_budget", t.bytes_over_budget}});
   for (std::size_t i = 0; i < names.size(); ++i) {
-    const auto b = c.budget(now(), static_cast<int>(i));
-    if (b.a_second == zone_failover::kNoBudget) continue;
+    const auto b = c.budget_state(now(), static_cast<int>(i));
+    if (b.bytes_per_second == zone_failover::kNoBudget) continue;
     budgets.push_back({{"op_type", names[i]},
-                       {"bytes_a_second", b.a_second},
-                       {"left", static_cast<long long>(b.left)},
-                       {"a_send", static_cast<long long>(b.a_send)},
-                       {"sends_out", b.sends_out},
-                       {"spent", c.spent(now(), static_cast<int>(i))}});
+                       {"bytes_a_second", b.bytes_per_second},
+                       {"left", static_cast<long long>(b.remaining_bytes)},
+                       {"a_send", static_cast<long long>(b.expected_attempt_bytes)},
+                       {"sends_out", b.attempts_in_flight},
+                       {"spent", c.is_exhausted(now(), static_cast<int>(i))}});
   }
-  return text(
-      {{"name", fleet_.options().name}, {"home", z.terms().home}, {"table", table}, {"budgets", budgets}});
+  return text({{"name", fleet_.options().name},
+               {"home", z.options().home_zone},
+               {"table", table},
+               {"budgets", budgets}});
 }
 
 // The works as the log has them, and at the leader what each waits for and when it is to begin.
@@ -244,60 +247,62 @@
   const auto* book = fleet_.works()->book();
   json out{{"name", fleet_.options().name}, {"leader", s.leader}, {"leads", s.is_leader && book}};
   if (!s.is_leader || !book) return text(out);
-  const auto& waits = fleet_.works()->conduct().waits();
+  const auto& waits = fleet_.works()->conduct().waiting_reasons();
   json works = json::array(), plan = json::array(), nodes = json::array();
-  for (const auto& [n, w] : book->all()) {
+  for (const auto& [n, w] : book->jobs()) {
     const auto it = waits.find(n);
     std::string why = it == waits.end() ? "" : it->second;
-    if (w.step == maintenance::Step::queued && why.empty()) why = book->forbids(w.request, n);
-    works.push_back({{"number", n},
-                     {"machine", w.request.machine},
-                     {"step", maintenance::name_of(w.step)},
-                     {"held", w.held},
-                     {"since_ms", w.since / maintenance::kMs},
-                     {"last", w.last},
-                     {"waits", why},
-                     {"who", w.who},
-                     {"why", w.why},
-                     {"nodes", w.request.nodes},
-                     {"brokers", w.request.brokers},
-                     {"zone", w.request.zone},
-                     {"region", w.request.region},
-                     {"rack", w.request.rack},
-                     {"endangers", w.open() ? json(book->endangers(w.request)) : json::array()}});
+    if (w.state == maintenance::JobState::kQueued && why.empty()) why = book->blocking_reason(w.request, n);
+    works.push_back(
+        {{"number", n},
+         {"machine", w.request.machine},
+         {"step", maintenance::job_state_name(w.state)},
+         {"held", w.is_held},
+         {"since_ms", w.state_since / maintenance::kMillisecond},
+         {"last", w.state_reason},
+         {"waits", why},
+         {"who", w.requested_by},
+         {"why", w.reason},
+         {"nodes", w.request.endpoints},
+         {"brokers", w.request.brokers},
+         {"zone", w.request.zone},
+         {"region", w.request.region},
+         {"rack", w.request.rack},
+         {"endangers", w.is_open() ? json(book->shards_below_min_replicas(w.request)) : json::array()}});
   }
   // As every voter makes it from the same entries: as of the facts said last.
-  for (const auto& p : maintenance::plan(*book, book->facts_at())) {
-    const auto& w = book->all().at(p.work);
-    plan.push_back({{"work", p.work},
+  for (const auto& p : maintenance::plan_jobs(*book, book->fleet_status_at())) {
+    const auto& w = book->jobs().at(p.job);
+    plan.push_back({{"work", p.job},
                     {"machine", w.request.machine},
-                    {"start_ms", p.start == kNever ? 0 : p.start / maintenance::kMs},
-                    {"length_ms", (w.request.length + book->facts().terms.around) / maintenance::kMs},
-                    {"in_time", p.in_time}});
+                    {"start_ms", p.start == kNever ? 0 : p.start / maintenance::kMillisecond},
+                    {"length_ms", (w.request.duration + book->fleet_status().limits.transition_time) /
+                                      maintenance::kMillisecond},
+                    {"in_time", p.is_in_time}});
   }
-  const std::set<std::string> out_nodes = book->out_nodes();
-  for (const auto& [name, n] : book->facts().nodes)
+  const std::set<std::string> out_nodes = book->endpoints_out();
+  for (const auto& [name, n] : book->fleet_status().endpoints)
     nodes.push_back({{"name", name},
-                     {"cell", n.cell},
+                     {"cell", n.ring_position},
                      {"zone", n.zone},
-                     {"ready", n.ready},
-                     {"warm", n.warm},
+                     {"ready", n.is_ready},
+                     {"warm", n.is_warm},
                      {"out", out_nodes.count(name) != 0}});
-  out["held"] = book->held(), out["works"] = works, out["plan"] = plan;
-  out["facts"] = {{"revision", book->facts().revision},
-                  {"cells", book->facts().cells},
-                  {"width", book->facts().width},
-                  {"holders_least", book->facts().terms.holders_least},
+  out["held"] = book->is_held(), out["works"] = works, out["plan"] = plan;
+  out["facts"] = {{"revision", book->fleet_status().revision},
+                  {"cells", book->fleet_status().ring_size},
+                  {"width", book->fleet_status().replicas_per_shard},
+                  {"holders_least", book->fleet_status().limits.min_warm_replicas},
                   {"nodes", nodes}};
   return text(out);
 }
 
 // What an operator says of works, as the log's entry has it; none where it is not well formed.
 std::optional<std::string> Operators::work_op(const nlohmann::json& j) {
-  maintenance::Op op;
+  maintenance::JobOperation op;
   timespec t{};
   clock_gettime(CLOCK_REALTIME, &t);
-  op.at = static_cast<Time>(t.tv_sec) * kSecond + t.tv_nsec;
+  op.stated_at = static_cast<Time>(t.tv_sec) * kSecond + t.tv_nsec;
   const auto number = [&](const char* name) -> std::optional<std::uint64_t> {
     const auto it = j.find(name);
     if (it == j.end() || !it->is_number_unsigned()) return std::nullopt;
@@ -306,7 +311,7 @@
   op.hold = number("hold"), op.resume = number("resume"), op.cancel = number("cancel"),
   op.done = number("done");
   if (const auto r = j.find("request"); r != j.end() && r->is_object()) {
-    maintenance::Request request;
+    maintenance::JobRequest request;
     const auto word = [&](const char* name, std::string& into) {
       if (const auto it = r->find(name); it != r->end() && it->is_string()) into = it->get<std::string>();
     };
@@ -317,22 +322,22 @@
     };
     const auto ms_of = [&](const char* name, Time& into) {
       if (const auto it = r->find(name); it != r->end() && it->is_number())
-        into = static_cast<Time>(std::clamp(it->get<double>(), 0.0, 4e12)) * maintenance::kMs;
+        into = static_cast<Time>(std::clamp(it->get<double>(), 0.0, 4e12)) * maintenance::kMillisecond;
     };
     word("machine", request.machine), word("rack", request.rack), word("zone", request.zone);
-    word("region", request.region), words("nodes", request.nodes), words("brokers", request.brokers);
-    ms_of("earliest_ms", request.earliest), ms_of("latest_ms", request.latest);
-    ms_of("length_ms", request.length);
+    word("region", request.region), words("nodes", request.endpoints), words("brokers", request.brokers);
+    ms_of("earliest_ms", request.earliest_start), ms_of("latest_ms", request.latest_end);
+    ms_of("length_ms", request.duration);
     if (const auto p = r->find("priority"); p != r->end() && p->is_number_integer())
       request.priority = static_cast<int>(std::clamp<std::int64_t>(p->get<std::int64_t>(), -1000, 1000));
     if (const auto e = r->find("emergency"); e != r->end() && e->is_boolean())
-      request.emergency = e->get<bool>();
+      request.is_emergency = e->get<bool>();
     op.request = std::move(request);
   }
   const int said = op.request.has_value() + op.hold.has_value() + op.resume.has_value() +
                    op.cancel.has_value() + op.done.has_value();
   if (said != 1) return std::nullopt;
-  return maintenance::encode(op);
+  return maintenance::encode_operation(op);
 }
 
 // A proposal whose answer is awaited; its asker may leave before.
--- a/src/maintenance/job_codec.cpp
+++ b/src/maintenance/job_codec.cpp
@@ -4,34 +4,45 @@
 
 namespace cairnhub::maintenance {
 
-std::string encode(const Message& m) {
-  upkeep::wire::Packet p;
-  if (m.clear) {
-    p.mutable_outs()->set_low(m.clear->low);
-    for (const auto& [node, sends] : m.clear->out) {
-      auto& o = *p.mutable_outs()->add_out();
-      o.set_node(node), o.set_sends(static_cast<std::uint32_t>(sends));
+namespace {
+
+constexpr std::size_t kMaxEndpointNameBytes = 128;
+constexpr std::uint32_t kMaxOpenAttempts = 1'000'000;
+
+}  // namespace
+
+std::string encode_message(const MaintenanceMessage& message) {
+  upkeep::wire::Packet packet;
+  if (message.open_attempts) {
+    packet.mutable_outs()->set_low(message.open_attempts->lease_low_version);
+    for (const auto& [endpoint, open] : message.open_attempts->by_endpoint) {
+      auto& entry = *packet.mutable_outs()->add_out();
+      entry.set_node(endpoint);
+      entry.set_sends(static_cast<std::uint32_t>(open));
     }
   }
-  if (m.stand_down) p.mutable_stand_down()->set_work(m.stand_down);
-  return p.SerializeAsString();
+  if (message.stop_for_job) packet.mutable_stand_down()->set_work(message.stop_for_job);
+  return packet.SerializeAsString();
 }
 
-std::optional<Message> decode(std::string_view bytes) {
-  upkeep::wire::Packet p;
-  if (!p.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return std::nullopt;
-  Message m;
-  if (p.has_outs()) {
-    if (p.outs().out_size() > static_cast<int>(Works::kNodes)) return std::nullopt;
-    m.clear.emplace();
-    m.clear->low = p.outs().low();
-    for (const auto& o : p.outs().out()) {
-      if (o.node().empty() || o.node().size() > 128 || o.sends() > 1000000) return std::nullopt;
-      m.clear->out[o.node()] = static_cast<int>(o.sends());
+std::optional<MaintenanceMessage> decode_message(std::string_view bytes) {
+  upkeep::wire::Packet packet;
+  if (!packet.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return std::nullopt;
+  MaintenanceMessage message;
+  if (packet.has_outs()) {
+    if (packet.outs().out_size() > static_cast<int>(JobQueue::kMaxEndpoints)) return std::nullopt;
+    message.open_attempts.emplace();
+    message.open_attempts->lease_low_version = packet.outs().low();
+    for (const auto& entry : packet.outs().out()) {
+      if (entry.node().empty() || entry.node().size() > kMaxEndpointNameBytes ||
+          entry.sends() > kMaxOpenAttempts) {
+        return std::nullopt;
+      }
+      message.open_attempts->by_endpoint[entry.node()] = static_cast<int>(entry.sends());
     }
   }
-  m.stand_down = p.stand_down().work();
-  return m;
+  message.stop_for_job = packet.stand_down().work();
+  return message;
 }
 
 }  // namespace cairnhub::maintenance
