--- a/src/cluster/maintenance_agent.cpp
+++ b/src/cluster/maintenance_agent.cpp
@@ -34,7 +34,8 @@
 }  // namespace
 
 MaintenanceAgent::MaintenanceAgent(event_base* base, const options::Fleet& options,
-                                   const settings::Settings& settings, shared_config::Accord& config_node,
+                                   const settings::Settings& settings,
+                                   shared_config::SharedConfigNode& config_node,
                                    const membership::SwimMembership& membership,
                                    const zone_failover::ZoneFailover* zones, EventLog* event_log, Send send)
     : options_(options),
@@ -52,8 +53,9 @@
       }) {}
 
 const maintenance::JobQueue* MaintenanceAgent::job_queue() const {
-  const auto* engine = config_node_.engine();
-  return engine ? dynamic_cast<const maintenance::JobQueue*>(engine->versions().board().get()) : nullptr;
+  const auto* engine = config_node_.raft_node();
+  return engine ? dynamic_cast<const maintenance::JobQueue*>(engine->versions().state_machine().get())
+                : nullptr;
 }
 
 maintenance::FleetStatus MaintenanceAgent::fleet_status(Time now,
@@ -85,37 +87,41 @@
       it->second.capacity_per_second = explanation.health.capacity_per_second;
     }
   }
-  status.voters = config_node_.engine()->voting();
+  status.voters = config_node_.raft_node()->voting();
   return status;
 }
 
-void MaintenanceAgent::run_check(Time now, const ProcessHooks& hooks, const shared_config::Acting& acting,
+void MaintenanceAgent::run_check(Time now, const ProcessHooks& hooks,
+                                 const shared_config::ActiveConfig& acting,
                                  const std::map<std::string, ListedEndpoint>& listed,
                                  std::uint64_t revision) {
   if (now < controller_.next_check_at()) return;
   controller_.schedule_next_check(now);
-  // Sends no report if the lease that these rules belong to has expired since: it would prove nothing. The
+  // Sends no report if the lease that these rules belong to has
+  // expired since: it would prove nothing. The
   // next check sends one.
-  if (!acting.rules->at_work.empty() && hooks.drain_endpoint && acting.low == config_node_.acting(now)->low) {
+  if (!acting.rules->endpoints_in_maintenance.empty() && hooks.drain_endpoint &&
+      acting.low == config_node_.active_config(now)->low) {
     maintenance::MaintenanceMessage message;
     message.open_attempts.emplace();
     message.open_attempts->lease_low_version = acting.low;
-    for (const auto& endpoint : acting.rules->at_work)
+    for (const auto& endpoint : acting.rules->endpoints_in_maintenance)
       message.open_attempts->by_endpoint[endpoint] = hooks.drain_endpoint(endpoint);
-    if (config_node_.leader() == options_.name || (config_node_.engine() && config_node_.engine()->leads()))
+    if (config_node_.leader() == options_.name ||
+        (config_node_.raft_node() && config_node_.raft_node()->leads()))
       controller_.record_report(now, options_.name, std::move(*message.open_attempts));
     else if (!config_node_.leader().empty())
       send_(config_node_.leader(), encode_message(message));
   }
-  const auto* engine = config_node_.engine();
+  const auto* engine = config_node_.raft_node();
   const auto* jobs = job_queue();
   if (!engine || !jobs) return;
-  config_node_.retire(controller_.retiring_brokers(*jobs));
+  config_node_.set_retiring_brokers(controller_.retiring_brokers(*jobs));
   if (!engine->leads()) return controller_.stop_leading();
   if (revision == 0) return;  // no endpoint list has arrived yet
   maintenance::LeaderView view;
   view.fleet_status = fleet_status(now, listed, revision);
-  view.leases = config_node_.leases().held();
+  view.leases = config_node_.lease_manager().brokers();
   view.voters = engine->voting();
   for (const auto* member : membership_.members().live()) view.live_brokers.insert(member->update.name);
   auto entry = controller_.next_entry(now, wall_now(), engine->versions(), view);
@@ -129,10 +135,12 @@
   }
   if (!entry) return;
   log("upkeep", "%s", entry->why.c_str());
-  config_node_.propose(now, std::move(*entry), [this](const std::optional<shared_config::Verdict>& verdict) {
-    if (verdict && !verdict->number) log("upkeep", "proposal refused: %s", verdict->refused.c_str());
-    controller_.record_proposal_result(verdict && verdict->number);
-  });
+  config_node_.propose(now, std::move(*entry),
+                       [this](const std::optional<shared_config::ApplyResult>& verdict) {
+                         if (verdict && !verdict->number)
+                           log("upkeep", "proposal refused: %s", verdict->rejection.c_str());
+                         controller_.record_proposal_result(verdict && verdict->number);
+                       });
 }
 
 void MaintenanceAgent::handle_message(Time now, const ProcessHooks& hooks, const std::string& from,
@@ -170,7 +178,7 @@
         .with("machine", job.request.machine)
         .with("step", maintenance::job_state_name(job.state))
         .with("nodes", endpoints)
-        .with("index", config_node_.engine()->applied_index())
+        .with("index", config_node_.raft_node()->applied_index())
         .with("why", job.state_reason);
   }
   std::erase_if(recorded_states_, [&](const auto& recorded) { return !jobs->jobs().count(recorded.first); });
--- a/src/cluster/maintenance_agent.h
+++ b/src/cluster/maintenance_agent.h
@@ -48,7 +48,7 @@
   // @param zones      null: zones are not configured
   // @param event_log  null: no events are recorded
   MaintenanceAgent(event_base* base, const options::Fleet& options, const settings::Settings& settings,
-                   shared_config::Accord& config_node, const membership::SwimMembership& membership,
+                   shared_config::SharedConfigNode& config_node, const membership::SwimMembership& membership,
                    const zone_failover::ZoneFailover* zones, EventLog* event_log, Send send);
 
   Time next_check_at() const { return controller_.next_check_at(); }
@@ -57,7 +57,7 @@
   // @param acting    the rules that the request path acts on
   // @param listed    the endpoints of this broker's own list, by name
   // @param revision  of that list; 0: none has arrived yet
-  void run_check(Time now, const ProcessHooks& hooks, const shared_config::Acting& acting,
+  void run_check(Time now, const ProcessHooks& hooks, const shared_config::ActiveConfig& acting,
                  const std::map<std::string, ListedEndpoint>& listed, std::uint64_t revision);
   void handle_message(Time now, const ProcessHooks& hooks, const std::string& from, std::string_view bytes);
   void forget_broker(const std::string& broker) { controller_.forget_broker(broker); }
@@ -74,7 +74,7 @@
   void stop_broker(const ProcessHooks& hooks, std::uint64_t job);
 
   const options::Fleet& options_;
-  shared_config::Accord& config_node_;
+  shared_config::SharedConfigNode& config_node_;
   const membership::SwimMembership& membership_;
   const zone_failover::ZoneFailover* zone_failover_;
   EventLog* event_log_;
--- a/src/maintenance/job_queue.h
+++ b/src/maintenance/job_queue.h
@@ -138,14 +138,15 @@
 std::string encode_operation(const JobOperation& operation);  // protobuf text, so that the log can be read
 std::optional<JobOperation> decode_operation(const std::string& text);
 
-class JobQueue : public shared_config::Board {
+class JobQueue : public shared_config::ReplicatedStateMachine {
  public:
   // Applies an operation to a copy of the queue. @return the job's number (1 where no job is concerned), or 0
   // and the reason for the refusal
-  shared_config::Verdict apply(const shared_config::Entry& entry,
-                               std::shared_ptr<const shared_config::Board>& next) const override;
+  shared_config::ApplyResult apply(
+      const shared_config::ConfigEntry& entry,
+      std::shared_ptr<const shared_config::ReplicatedStateMachine>& next) const override;
   std::string snapshot() const override;
-  std::shared_ptr<const shared_config::Board> restore(std::string_view bytes) const override;
+  std::shared_ptr<const shared_config::ReplicatedStateMachine> restore(std::string_view bytes) const override;
 
   const std::map<std::uint64_t, Job>& jobs() const { return jobs_; }
   const FleetStatus& fleet_status() const { return fleet_status_; }
@@ -180,10 +181,12 @@
   static constexpr std::size_t kMaxEndpoints = 4096;
 
  private:
-  shared_config::Verdict apply_request(const shared_config::Entry& entry, const JobOperation& operation);
-  shared_config::Verdict apply_transition(const shared_config::Entry& entry, const JobOperation& operation);
-  shared_config::Verdict apply_operator_action(const shared_config::Entry& entry,
-                                               const JobOperation& operation);
+  shared_config::ApplyResult apply_request(const shared_config::ConfigEntry& entry,
+                                           const JobOperation& operation);
+  shared_config::ApplyResult apply_transition(const shared_config::ConfigEntry& entry,
+                                              const JobOperation& operation);
+  shared_config::ApplyResult apply_operator_action(const shared_config::ConfigEntry& entry,
+                                                   const JobOperation& operation);
   void set_state(Job& job, JobState state, Time at, const std::string& reason);
   void drop_old_jobs();
   bool holds(const EndpointStatus& endpoint, int shard) const;
--- a/src/maintenance/maintenance_controller.cpp
+++ b/src/maintenance/maintenance_controller.cpp
@@ -20,15 +20,15 @@
   return std::any_of(names.begin(), names.end(), [&](const auto& name) { return set.count(name) != 0; });
 }
 std::string rules_that_exclude(const std::set<std::string>& endpoints) {
-  shared_config::Rules rules;
-  rules.at_work = endpoints;
-  return shared_config::text_of(rules);
+  shared_config::RuleSet rules;
+  rules.endpoints_in_maintenance = endpoints;
+  return shared_config::canonical_text(rules);
 }
 
 }  // namespace
 
 void MaintenanceController::record_report(Time now, const std::string& from, OpenAttemptsReport report) {
-  if (reports_.size() >= shared_config::Versions::kRoster && !reports_.count(from)) return;
+  if (reports_.size() >= shared_config::VersionHistory::kMaxBrokers && !reports_.count(from)) return;
   report.received_at = now;
   reports_[from] = std::move(report);
 }
@@ -57,20 +57,20 @@
   }
 }
 
-shared_config::Entry MaintenanceController::make_entry(shared_config::Entry::Kind kind, Time now,
-                                                       const std::string& reason) {
-  shared_config::Entry entry;
+shared_config::ConfigEntry MaintenanceController::make_entry(shared_config::ConfigEntry::Kind kind, Time now,
+                                                             const std::string& reason) {
+  shared_config::ConfigEntry entry;
   entry.kind = kind;
   entry.who = "upkeep";
   entry.why = reason.substr(0, kMaxReasonBytes);
-  entry.id = "upkeep-" + shared_config::hash_of(self_ + " " + std::to_string(now) + " " +
-                                                std::to_string(++entries_made_));
+  entry.id = "upkeep-" + shared_config::content_hash(self_ + " " + std::to_string(now) + " " +
+                                                     std::to_string(++entries_made_));
   return entry;
 }
 
-shared_config::Entry MaintenanceController::make_transition(Time now, Time wall_time, const Job& job,
-                                                            JobState to, const std::string& reason) {
-  shared_config::Entry entry = make_entry(shared_config::Entry::Kind::board, now, reason);
+shared_config::ConfigEntry MaintenanceController::make_transition(Time now, Time wall_time, const Job& job,
+                                                                  JobState to, const std::string& reason) {
+  shared_config::ConfigEntry entry = make_entry(shared_config::ConfigEntry::Kind::kStateMachine, now, reason);
   JobOperation operation;
   operation.stated_at = wall_time;
   operation.transition = JobOperation::Transition{job.number, job.state, to};
@@ -105,10 +105,9 @@
   return !(comparable == sent);
 }
 
-std::optional<shared_config::Entry> MaintenanceController::next_entry(Time now, Time wall_time,
-                                                                      const shared_config::Versions& versions,
-                                                                      const LeaderView& view) {
-  const auto* queue = dynamic_cast<const JobQueue*>(versions.board().get());
+std::optional<shared_config::ConfigEntry> MaintenanceController::next_entry(
+    Time now, Time wall_time, const shared_config::VersionHistory& versions, const LeaderView& view) {
+  const auto* queue = dynamic_cast<const JobQueue*>(versions.state_machine().get());
   if (!queue || has_pending_proposal_) return std::nullopt;
   waiting_reasons_.clear();
   brokers_to_stop_.clear();
@@ -118,10 +117,10 @@
   });
   std::erase_if(observed_states_,
                 [&](const auto& observed) { return queue->jobs().count(observed.first) == 0; });
-  std::optional<shared_config::Entry> entry;
+  std::optional<shared_config::ConfigEntry> entry;
   if (now >= next_status_at_ && is_worth_sending(queue->fleet_status(), view.fleet_status)) {
     next_status_at_ = now + options_.status_interval;
-    entry = make_entry(shared_config::Entry::Kind::board, now, "what is seen");
+    entry = make_entry(shared_config::ConfigEntry::Kind::kStateMachine, now, "what is seen");
     JobOperation operation;
     operation.stated_at = wall_time;
     operation.fleet_status = view.fleet_status;
@@ -133,45 +132,45 @@
   if (!entry) entry = std::move(candidate);
   candidate = advance_jobs(now, wall_time, versions, *queue, view);
   if (!entry) entry = std::move(candidate);
-  if (!entry) entry = start_next_job(now, wall_time, versions.board(), *queue);
+  if (!entry) entry = start_next_job(now, wall_time, versions.state_machine(), *queue);
   has_pending_proposal_ = entry.has_value();
   return entry;
 }
 
 // Exclusions are added to the baseline first and to the versions second, and removed in the opposite order.
-std::optional<shared_config::Entry> MaintenanceController::exclude_endpoints(
-    Time now, const shared_config::Versions& versions, const JobQueue& queue) {
+std::optional<shared_config::ConfigEntry> MaintenanceController::exclude_endpoints(
+    Time now, const shared_config::VersionHistory& versions, const JobQueue& queue) {
   const std::set<std::string> wanted = queue.endpoints_out();
   const std::set<std::string> wanted_in_baseline = queue.baseline_exclusions();
-  const auto& baseline = versions.ground().rules->at_work;
-  const auto& newest = versions.all().rbegin()->second.rules->at_work;
-  const auto& in_force = versions.at(versions.in_force())->rules->at_work;
+  const auto& baseline = versions.baseline().rules->endpoints_in_maintenance;
+  const auto& newest = versions.versions().rbegin()->second.rules->endpoints_in_maintenance;
+  const auto& in_force = versions.find(versions.in_force())->rules->endpoints_in_maintenance;
   const auto is_subset = [](const auto& subset, const auto& set) {
     return std::includes(set.begin(), set.end(), subset.begin(), subset.end());
   };
   // While a next baseline exists the brokers are taking it up.
-  if (!is_subset(wanted_in_baseline, baseline) && !versions.ground_next()) {
+  if (!is_subset(wanted_in_baseline, baseline) && !versions.next_baseline()) {
     std::set<std::string> both = baseline;
     both.insert(wanted_in_baseline.begin(), wanted_in_baseline.end());
-    shared_config::Entry entry =
-        make_entry(shared_config::Entry::Kind::ground_works, now, "machines are taken out");
-    entry.base = versions.ground_works_from();
+    shared_config::ConfigEntry entry = make_entry(
+        shared_config::ConfigEntry::Kind::kProposeBaselineMaintenance, now, "machines are taken out");
+    entry.base = versions.baseline_maintenance_version();
     entry.text = rules_that_exclude(both);
     return entry;
   }
   if (newest != wanted && is_subset(wanted, baseline)) {
-    shared_config::Entry entry =
-        make_entry(shared_config::Entry::Kind::propose_works, now, "machines at work");
-    entry.base = versions.works_from();
+    shared_config::ConfigEntry entry =
+        make_entry(shared_config::ConfigEntry::Kind::kProposeMaintenance, now, "machines at work");
+    entry.base = versions.maintenance_version();
     entry.text = rules_that_exclude(wanted);
     return entry;
   }
   // Until the version that readmits an endpoint is in force, a baseline that readmits it would allow more
   // than the version in force.
-  if (baseline != wanted_in_baseline && newest == wanted && in_force == wanted && !versions.ground_next()) {
-    shared_config::Entry entry =
-        make_entry(shared_config::Entry::Kind::ground_works, now, "machines are back");
-    entry.base = versions.ground_works_from();
+  if (baseline != wanted_in_baseline && newest == wanted && in_force == wanted && !versions.next_baseline()) {
+    shared_config::ConfigEntry entry =
+        make_entry(shared_config::ConfigEntry::Kind::kProposeBaselineMaintenance, now, "machines are back");
+    entry.base = versions.baseline_maintenance_version();
     entry.text = rules_that_exclude(wanted_in_baseline);
     return entry;
   }
@@ -180,11 +179,11 @@
 
 // Why the machine's endpoints may still have open attempts or get new ones. Empty: neither.
 std::string MaintenanceController::draining_reason(Time now, const Job& job,
-                                                   const shared_config::Versions& versions,
+                                                   const shared_config::VersionHistory& versions,
                                                    const LeaderView& view) {
   if (job.request.endpoints.empty()) return "";  // the machine's brokers are checked by the caller
-  const auto& baseline = versions.ground().rules->at_work;
-  const auto& in_force = versions.at(versions.in_force())->rules->at_work;
+  const auto& baseline = versions.baseline().rules->endpoints_in_maintenance;
+  const auto& in_force = versions.find(versions.in_force())->rules->endpoints_in_maintenance;
   if (!holds_all(baseline, job.request.endpoints)) {
     excluded_since_.erase(job.number);
     return "the baseline rules don't exclude its nodes yet: every enlisted broker must take them up";
@@ -198,19 +197,19 @@
       static_cast<Time>(static_cast<double>(options_.max_attempt_time) * (1 + 2 * options_.max_clock_drift));
   std::string names;
   int missing = 0;
-  for (const auto& broker : versions.roster()) {
+  for (const auto& broker : versions.enrolled_brokers()) {
     const auto lease = view.leases.find(broker);
-    const bool has_lease = lease != view.leases.end() && lease->second.live(now);
+    const bool has_lease = lease != view.leases.end() && lease->second.has_lease(now);
     const auto report = reports_.find(broker);
     bool is_clear = false;
     if (has_lease || broker == self_) {
       // The broker must have reported it since the endpoints are excluded, and while it acted under a version
       // that excludes them.
       const shared_config::Version* version =
-          report == reports_.end() ? nullptr : versions.at(report->second.lease_low_version);
+          report == reports_.end() ? nullptr : versions.find(report->second.lease_low_version);
       is_clear =
           report != reports_.end() && report->second.received_at >= since && version &&
-          holds_all(version->rules->at_work, job.request.endpoints) &&
+          holds_all(version->rules->endpoints_in_maintenance, job.request.endpoints) &&
           std::all_of(job.request.endpoints.begin(), job.request.endpoints.end(), [&](const auto& endpoint) {
             const auto open = report->second.by_endpoint.find(endpoint);
             return open != report->second.by_endpoint.end() && open->second == 0;
@@ -234,10 +233,10 @@
          now >= observed_states_.at(job.number).since + status.limits.lost_after;
 }
 
-std::optional<shared_config::Entry> MaintenanceController::advance_jobs(
-    Time now, Time wall_time, const shared_config::Versions& versions, const JobQueue& queue,
+std::optional<shared_config::ConfigEntry> MaintenanceController::advance_jobs(
+    Time now, Time wall_time, const shared_config::VersionHistory& versions, const JobQueue& queue,
     const LeaderView& view) {
-  std::optional<shared_config::Entry> entry;
+  std::optional<shared_config::ConfigEntry> entry;
   const auto propose = [&](const Job& job, JobState to, const std::string& reason) {
     if (!entry) entry = make_transition(now, wall_time, job, to, reason);
   };
@@ -276,7 +275,7 @@
           for (const auto& broker : job.request.brokers) {
             const auto lease = view.leases.find(broker);
             const bool is_running = broker == self_ || view.live_brokers.count(broker) ||
-                                    (lease != view.leases.end() && lease->second.live(now));
+                                    (lease != view.leases.end() && lease->second.has_lease(now));
             if (!is_running) continue;
             reason += (reason.empty() ? "brokers on it are still running: " : ", ") + broker;
             // A voter is stopped at once only if no other broker could take over its vote. Otherwise it waits
@@ -285,7 +284,7 @@
             std::size_t spare_voters = 0;
             for (const auto& [name, held] : view.leases) {
               spare_voters +=
-                  held.may_vote && held.live(now) && !view.voters.count(name) && !retiring.count(name);
+                  held.may_vote && held.has_lease(now) && !view.voters.count(name) && !retiring.count(name);
             }
             if (broker != self_ && (!view.voters.count(broker) || spare_voters == 0)) {
               brokers_to_stop_.insert(broker);
@@ -314,7 +313,7 @@
         }
         break;
       case JobState::kReturning: {
-        const auto& in_force = versions.at(versions.in_force())->rules->at_work;
+        const auto& in_force = versions.find(versions.in_force())->rules->endpoints_in_maintenance;
         std::string reason;
         if (holds_any(in_force, job.request.endpoints)) {
           reason = "the version that readmits its nodes is not in force yet";
@@ -353,8 +352,8 @@
   return entry;
 }
 
-std::optional<shared_config::Entry> MaintenanceController::start_next_job(
-    Time now, Time wall_time, const std::shared_ptr<const shared_config::Board>& board,
+std::optional<shared_config::ConfigEntry> MaintenanceController::start_next_job(
+    Time now, Time wall_time, const std::shared_ptr<const shared_config::ReplicatedStateMachine>& board,
     const JobQueue& queue) {
   for (const auto& [number, job] : queue.jobs()) {
     if (job.state == JobState::kQueued && job.request.is_emergency && !job.is_held) {
--- a/src/zone_failover/zone_failover.cpp
+++ b/src/zone_failover/zone_failover.cpp
@@ -144,7 +144,7 @@
       reason = prefix + name + " " + zone_failover::name_of(target.state) + " at " +
                std::to_string(target.local_share_thousandths);
       const auto found = health.find(name);
-      if (const shared_config::Order* order = order_for(prefix + name))
+      if (const shared_config::ZoneOrder* order = order_for(prefix + name))
         reason += ": ordered by " + order->who + ", " + order->why;
       else if (found != health.end())
         reason += ": " + found->second.reason;
@@ -159,10 +159,10 @@
   bool has_increase = false;
   std::set<std::pair<std::string, std::string>> pairs;
   for (const auto* table : {&shares, &previous.shares})
-    for (const auto& [pair, share] : table->most) pairs.insert(pair);
+    for (const auto& [pair, share] : table->thousandths_by_pair) pairs.insert(pair);
   for (const auto& [from, to] : pairs) {
-    const int before = previous.shares.of(from, to);
-    const int after = shares.of(from, to);
+    const int before = previous.shares.thousandths(from, to);
+    const int after = shares.thousandths(from, to);
     // A share that a zone can no longer spare must be lowered at once; a higher share can wait.
     if (after < before * (1 - options_.decrease_threshold) - kMinShareChangeThousandths) {
       reason = to + " can spare less for " + from + ": " + std::to_string(after) + " where " +
@@ -175,11 +175,11 @@
   // Brokers reject planned traffic that the table in force does not allow yet.
   for (const auto& [pair, flow] : split.planned_per_second) {
     const double needed = 1000 * flow / std::max(1.0, health_view_.zones[pair.first].demand_per_second);
-    if (needed > previous.shares.of(pair.first, pair.second) * (1 + options_.decrease_threshold) +
+    if (needed > previous.shares.thousandths(pair.first, pair.second) * (1 + options_.decrease_threshold) +
                      kMinShareChangeThousandths) {
       reason = pair.first + " needs more of " + pair.second + ": " +
                std::to_string(static_cast<int>(needed)) + " where " +
-               std::to_string(previous.shares.of(pair.first, pair.second));
+               std::to_string(previous.shares.thousandths(pair.first, pair.second));
       return true;
     }
   }
@@ -188,10 +188,10 @@
   return true;
 }
 
-std::optional<shared_config::Entry> ZoneFailover::propose_change(Time now,
-                                                                 const shared_config::Versions& versions) {
-  const shared_config::Version& newest = versions.all().rbegin()->second;
-  Previous previous{parse_decision(newest.note), newest.rules->zones};
+std::optional<shared_config::ConfigEntry> ZoneFailover::propose_change(
+    Time now, const shared_config::VersionHistory& versions) {
+  const shared_config::Version& newest = versions.versions().rbegin()->second;
+  Previous previous{parse_decision(newest.note), newest.rules->zone_shares};
   if (!is_leading_) {
     // A new leader that assumed every zone to be local would bring traffic back to a dead one at once.
     is_leading_ = true;
@@ -206,18 +206,18 @@
     resume(zones_, previous.decision.zones);
     resume(regions_, previous.decision.regions);
   }
-  orders_ = versions.orders();
+  orders_ = versions.zone_orders();
   health_view_ = evaluator_.evaluate(now);
   const bool newest_is_in_force = versions.in_force() >= newest.number;
   FailoverDecision decision;
   std::vector<ZoneTraffic> traffic;
   for (auto& [zone, machine] : zones_) {
     const ZoneHealth& health = health_view_.zones[zone];
-    const shared_config::Order* order = order_for(zone);
+    const shared_config::ZoneOrder* order = order_for(zone);
     machine.update(now, health.status, health.sustainable_share,
-                   !order                  ? OperatorOrder::kNone
-                   : order->what == "hold" ? OperatorOrder::kHold
-                                           : OperatorOrder::kEvacuate,
+                   !order                    ? OperatorOrder::kNone
+                   : order->action == "hold" ? OperatorOrder::kHold
+                                             : OperatorOrder::kEvacuate,
                    newest_is_in_force && holds(previous.decision.zones, zone, machine));
     decision.zones[zone] = {machine.state(), machine.local_share_thousandths()};
     // Demand without a local replica goes to other zones even if this zone is good.
@@ -231,20 +231,21 @@
   }
   update_regions(now, traffic, newest_is_in_force, previous.decision, decision);
   // A table may only be proposed once the common ground allows no more than every table does.
-  shared_config::Entry entry;
+  shared_config::ConfigEntry entry;
   entry.who = "zones";
-  if (versions.ground().rules->zones.otherwise > options_.traffic_split.min_share_thousandths) {
-    if (versions.ground_next() || (pending_ground_ == versions.ground().number && now < pending_until_)) {
+  if (versions.baseline().rules->zone_shares.default_thousandths >
+      options_.traffic_split.min_share_thousandths) {
+    if (versions.next_baseline() || (pending_ground_ == versions.baseline().number && now < pending_until_)) {
       reason_ = "the common ground is being narrowed to what every table allows";
       return std::nullopt;
     }
-    pending_ground_ = versions.ground().number;
+    pending_ground_ = versions.baseline().number;
     pending_until_ = now + kProposalRetryDelay;
-    shared_config::Rules ground = *versions.ground().rules;
-    ground.zones = shared_config::ZoneShares{options_.traffic_split.min_share_thousandths, {}};
-    entry.kind = shared_config::Entry::Kind::propose_ground;
-    entry.base = versions.ground().number;
-    entry.text = shared_config::text_of(ground);
+    shared_config::RuleSet ground = *versions.baseline().rules;
+    ground.zone_shares = shared_config::ZoneShares{options_.traffic_split.min_share_thousandths, {}};
+    entry.kind = shared_config::ConfigEntry::Kind::kProposeBaseline;
+    entry.base = versions.baseline().number;
+    entry.text = shared_config::canonical_text(ground);
     entry.why = "what zones may send each other without asking";
     entry.id = make_proposal_id(now);
     return entry;
@@ -260,18 +261,18 @@
   pending_base_ = newest.number;
   pending_until_ = now + kProposalRetryDelay;
   changed_at_ = now;
-  shared_config::Rules rules;
-  rules.zones = split.shares;
-  entry.kind = shared_config::Entry::Kind::propose_zones;
-  entry.base = versions.zones_from();
-  entry.text = shared_config::text_of(rules);
+  shared_config::RuleSet rules;
+  rules.zone_shares = split.shares;
+  entry.kind = shared_config::ConfigEntry::Kind::kProposeZoneShares;
+  entry.base = versions.zone_shares_version();
+  entry.text = shared_config::canonical_text(rules);
   entry.note = text_of(decision);
   entry.why = reason_ = reason.substr(0, kMaxReasonBytes);
   entry.id = make_proposal_id(now);
   return entry;
 }
 
-const shared_config::Order* ZoneFailover::order_for(const std::string& zone_or_region) const {
+const shared_config::ZoneOrder* ZoneFailover::order_for(const std::string& zone_or_region) const {
   auto it = orders_.find(zone_or_region);
   if (it == orders_.end())  // an order for the region holds for its zones
     if (const auto zone = zone_options_.find(zone_or_region); zone != zone_options_.end())
@@ -321,9 +322,9 @@
       health.status = ZoneStatus::kGood;
       health.reason = "its zones bear what its brokers ask for";
     }
-    const shared_config::Order* order = order_for(region_key(region));
+    const shared_config::ZoneOrder* order = order_for(region_key(region));
     machine.update(now, health.status, health.sustainable_share,
-                   order && order->what == "hold" ? OperatorOrder::kHold : OperatorOrder::kNone,
+                   order && order->action == "hold" ? OperatorOrder::kHold : OperatorOrder::kNone,
                    newest_is_in_force && holds(previous.regions, region, machine));
     decision.regions[region] = {machine.state(), machine.local_share_thousandths()};
   }
@@ -335,11 +336,11 @@
 }
 
 std::string ZoneFailover::make_proposal_id(Time now) {
-  return "zones-" +
-         shared_config::hash_of(broker_ + " " + std::to_string(now) + " " + std::to_string(++proposals_));
+  return "zones-" + shared_config::content_hash(broker_ + " " + std::to_string(now) + " " +
+                                                std::to_string(++proposals_));
 }
 
-std::vector<ZoneLimit> ZoneFailover::zone_limits(const shared_config::Rules& rules,
+std::vector<ZoneLimit> ZoneFailover::zone_limits(const shared_config::RuleSet& rules,
                                                  const std::string* note) const {
   std::vector<ZoneLimit> limits;
   const std::string& home_region = zone_options_.at(options_.home_zone)->region;
@@ -349,9 +350,9 @@
     limit.is_other_region = zone_options_.at(zone)->region != home_region;
     if (zone != options_.home_zone) {
       // Before the first table, no more than the common ground is going to allow.
-      const bool has_no_table = rules.zones == shared_config::ZoneShares{};
+      const bool has_no_table = rules.zone_shares == shared_config::ZoneShares{};
       limit.max_share = (has_no_table ? options_.traffic_split.min_share_thousandths
-                                      : rules.zones.of(options_.home_zone, zone)) /
+                                      : rules.zone_shares.thousandths(options_.home_zone, zone)) /
                         1000.0;
       max_remote_share += limit.max_share;
     }
@@ -372,8 +373,8 @@
   const auto add = [&](const std::string& name, const FailoverStateMachine& machine, const auto& health,
                        const std::string& key) {
     const auto found = health.find(key);
-    const shared_config::Order* order = order_for(name);
-    all.push_back({name, machine.state(), machine.local_share_thousandths(), order ? order->what : "",
+    const shared_config::ZoneOrder* order = order_for(name);
+    all.push_back({name, machine.state(), machine.local_share_thousandths(), order ? order->action : "",
                    found == health.end() ? ZoneHealth{} : found->second});
   };
   for (const auto& [zone, machine] : zones_) add(zone, machine, health_view_.zones, zone);
--- a/tests/cluster/maintenance_simulation.h
+++ b/tests/cluster/maintenance_simulation.h
@@ -77,14 +77,14 @@
     for (int b = 0; b < size.brokers; ++b) {
       Broker& broker = brokers_[static_cast<std::size_t>(b)];
       broker.name = "b" + std::to_string(b);
-      broker.holder = std::make_unique<shared_config::Holder>(lease_terms(), shared_config::Rules{});
-      shared_config::Entry entry;
-      entry.kind = shared_config::Entry::Kind::enlist;
+      broker.holder = std::make_unique<shared_config::LeaseClient>(lease_terms(), shared_config::RuleSet{});
+      shared_config::ConfigEntry entry;
+      entry.kind = shared_config::ConfigEntry::Kind::kEnrollBroker;
       entry.name = broker.name;
       history_.apply(entry);
     }
     controller_ = std::make_unique<maintenance::MaintenanceController>(controller_options(), kLeader);
-    leases_.leads(now_ - 2 * kSecond, 1, {kLeader}, kLeader);
+    leases_.start_term(now_ - 2 * kSecond, 1, {kLeader}, kLeader);
     std::vector<int> order(hosts_.size());
     for (std::size_t h = 0; h < order.size(); ++h) order[h] = static_cast<int>(h);
     std::shuffle(order.begin(), order.end(), random_);
@@ -157,15 +157,15 @@
   };
   struct Broker {
     std::string name;
-    std::unique_ptr<shared_config::Holder> holder;
+    std::unique_ptr<shared_config::LeaseClient> holder;
     std::vector<OpenAttempt> attempts;
     std::vector<bool> unlisted;  // by host, as in the broker's own endpoint list
     Time partitioned_until = 0;
     Time paused_until = 0;
     Time next_report_at = 0;
     // The exclusions by host, kept for as long as the broker acts on the same rules.
-    const shared_config::Acting* excluded_for = nullptr;
-    std::shared_ptr<const shared_config::Acting> acting;
+    const shared_config::ActiveConfig* excluded_for = nullptr;
+    std::shared_ptr<const shared_config::ActiveConfig> acting;
     std::vector<bool> excluded;
   };
   struct SimulatedJob {
@@ -190,16 +190,16 @@
     int broker;
     bool is_to_leader;
     std::uint64_t term;
-    std::optional<shared_config::Ask> ask;
-    std::optional<shared_config::Grant> grant;
+    std::optional<shared_config::LeaseRequest> ask;
+    std::optional<shared_config::LeaseGrant> grant;
     std::optional<maintenance::OpenAttemptsReport> report;
   };
 
   unsigned below(unsigned n) { return static_cast<unsigned>(random_() % n); }
   bool is_warm(const Host& host) const { return !host.started_at || now_ >= host.started_at + kWarmUpTime; }
-  static shared_config::LeaseTerms lease_terms() {
-    shared_config::LeaseTerms terms;
-    terms.stated = kSecond;
+  static shared_config::LeaseSettings lease_terms() {
+    shared_config::LeaseSettings terms;
+    terms.max_divergence = kSecond;
     return terms;
   }
   maintenance::MaintenanceControllerOptions controller_options() const {
@@ -261,10 +261,11 @@
           if (!begins) break;
           Broker& restarted = broker(fault.target);
           shared_config::Version baseline;
-          baseline = restarted.holder->ground();
-          baseline.rules = std::make_shared<const shared_config::Rules>(restarted.holder->grounded());
-          restarted.holder = std::make_unique<shared_config::Holder>(lease_terms(), shared_config::Rules{});
-          if (baseline.number) restarted.holder->keep(baseline);
+          baseline = restarted.holder->baseline();
+          baseline.rules = std::make_shared<const shared_config::RuleSet>(restarted.holder->baseline_rules());
+          restarted.holder =
+              std::make_unique<shared_config::LeaseClient>(lease_terms(), shared_config::RuleSet{});
+          if (baseline.number) restarted.holder->restore_baseline(baseline);
           restarted.attempts.clear();
           restarted.excluded_for = nullptr;
           restarted.acting.reset();
@@ -283,8 +284,8 @@
     }
     if (leaderless_until_ && now_ >= leaderless_until_) {
       leaderless_until_ = 0;
-      leases_ = shared_config::Leases(lease_terms());
-      leases_.leads(now_, ++term_, {kLeader}, kLeader);
+      leases_ = shared_config::LeaseManager(lease_terms());
+      leases_.start_term(now_, ++term_, {kLeader}, kLeader);
       controller_ = std::make_unique<maintenance::MaintenanceController>(controller_options(), kLeader);
     }
     // A broker that is partitioned or paused keeps its old endpoint list until it is back.
@@ -325,15 +326,16 @@
       if (!is_reachable(peer)) continue;  // lost
       if (message.is_to_leader) {
         if (leaderless_until_) continue;
-        if (message.ask) leases_.asked(now_, peer.name, *message.ask);
+        if (message.ask) leases_.handle_request(now_, peer.name, *message.ask);
         if (message.report) controller_->record_report(now_, peer.name, std::move(*message.report));
       } else if (message.grant) {
-        peer.holder->answered(now_, *message.grant);
+        peer.holder->handle_grant(now_, *message.grant);
       }
     }
     if (leaderless_until_ || method_ == Method::kUncoordinated) return;
-    if (const auto round = leases_.round(now_)) leases_.confirmed(now_, kLeader, term_, *round, history_);
-    for (auto& granted : leases_.granted()) {
+    if (const auto round = leases_.start_round(now_))
+      leases_.handle_confirmation(now_, kLeader, term_, *round, history_);
+    for (auto& granted : leases_.take_grants()) {
       mail_.push_back(
           {now_ + kStep, std::stoi(granted.to.substr(1)), false, term_, {}, std::move(granted.grant), {}});
     }
@@ -344,15 +346,15 @@
     for (int i = 0; i < size_.brokers; ++i) {
       Broker& sender = broker(i);
       if (now_ < sender.paused_until) continue;
-      if (now_ >= sender.holder->wake() && is_reachable(sender)) {
-        mail_.push_back({now_ + kStep, i, true, term_, sender.holder->ask(now_), {}, {}});
+      if (now_ >= sender.holder->next_wake() && is_reachable(sender)) {
+        mail_.push_back({now_ + kStep, i, true, term_, sender.holder->make_request(now_), {}, {}});
       }
-      const auto& acting = *sender.holder->acting(now_);
-      if (now_ >= sender.next_report_at && acting.low && !acting.rules->at_work.empty()) {
+      const auto& acting = *sender.holder->active_config(now_);
+      if (now_ >= sender.next_report_at && acting.low && !acting.rules->endpoints_in_maintenance.empty()) {
         sender.next_report_at = now_ + kSecond / 10;
         maintenance::OpenAttemptsReport report;
         report.lease_low_version = acting.low;
-        for (const auto& endpoint : acting.rules->at_work) {
+        for (const auto& endpoint : acting.rules->endpoints_in_maintenance) {
           const int h = std::stoi(endpoint.substr(2));
           report.by_endpoint[endpoint] =
               static_cast<int>(std::count_if(sender.attempts.begin(), sender.attempts.end(),
@@ -387,16 +389,16 @@
     return status;
   }
   const maintenance::JobQueue& queue() const {
-    return static_cast<const maintenance::JobQueue&>(*history_.board());
+    return static_cast<const maintenance::JobQueue&>(*history_.state_machine());
   }
 
   void run_leader() {
     if (leaderless_until_) return;
-    if (const auto version = leases_.may_force(now_, history_)) {
-      commit(shared_config::Entry::Kind::force, version);
+    if (const auto version = leases_.activatable_version(now_, history_)) {
+      commit(shared_config::ConfigEntry::Kind::kActivateVersion, version);
     }
-    if (history_.ground_next() && leases_.may_force_ground(history_)) {
-      commit(shared_config::Entry::Kind::force_ground, history_.ground_next()->number);
+    if (history_.next_baseline() && leases_.may_activate_baseline(history_)) {
+      commit(shared_config::ConfigEntry::Kind::kActivateBaseline, history_.next_baseline()->number);
     }
     if (proposal_settles_at_ && now_ >= proposal_settles_at_) {
       proposal_settles_at_ = 0;
@@ -408,7 +410,7 @@
     request_jobs();
     maintenance::LeaderView view;
     view.fleet_status = fleet_status();
-    view.leases = leases_.held();
+    view.leases = leases_.brokers();
     for (const Broker& broker : brokers_) {
       if (is_reachable(broker)) view.live_brokers.insert(broker.name);
     }
@@ -417,8 +419,8 @@
       proposal_settles_at_ = now_ + kStep;
     }
   }
-  void commit(shared_config::Entry::Kind kind, std::uint64_t number) {
-    shared_config::Entry entry;
+  void commit(shared_config::ConfigEntry::Kind kind, std::uint64_t number) {
+    shared_config::ConfigEntry entry;
     entry.kind = kind;
     entry.number = number;
     history_.apply(entry);
@@ -428,8 +430,8 @@
     for (SimulatedJob& job : jobs_) {
       if (job.number) continue;
       const Host& host = hosts_[static_cast<std::size_t>(job.host)];
-      shared_config::Entry entry;
-      entry.kind = shared_config::Entry::Kind::board;
+      shared_config::ConfigEntry entry;
+      entry.kind = shared_config::ConfigEntry::Kind::kStateMachine;
       entry.id = "ask-" + host.name;
       entry.who = "crew";
       maintenance::JobOperation operation;
@@ -511,8 +513,8 @@
         listed_at_[job.host] = now_ + kSecond / 5;
         continue;
       }
-      shared_config::Entry entry;
-      entry.kind = shared_config::Entry::Kind::board;
+      shared_config::ConfigEntry entry;
+      entry.kind = shared_config::ConfigEntry::Kind::kStateMachine;
       entry.id = "back-" + host.name;
       entry.who = "crew";
       maintenance::JobOperation operation;
@@ -540,15 +542,15 @@
     for (Broker& broker : brokers_) {
       std::erase_if(broker.attempts, [&](const OpenAttempt& attempt) { return attempt.until <= now_; });
       if (now_ < broker.paused_until || below(4) != 0) continue;
-      const shared_config::Acting* acting = nullptr;
+      const shared_config::ActiveConfig* acting = nullptr;
       if (method_ != Method::kUncoordinated) {
-        const auto& current = broker.holder->acting(now_);
+        const auto& current = broker.holder->active_config(now_);
         acting = current.get();
         if (acting != broker.excluded_for) {
           broker.excluded_for = acting;
           broker.acting = current;
           broker.excluded.assign(hosts_.size(), false);
-          for (const auto& endpoint : acting->rules->at_work) {
+          for (const auto& endpoint : acting->rules->endpoints_in_maintenance) {
             broker.excluded[static_cast<std::size_t>(std::stoi(endpoint.substr(2)))] = true;
           }
         }
@@ -588,13 +590,13 @@
   std::vector<std::pair<Broker*, std::size_t>> late_lists_;
   std::set<int> hosts_out_;
   std::set<int> zones_in_failover_;
-  shared_config::Versions history_;
-  shared_config::Leases leases_{lease_terms()};
+  shared_config::VersionHistory history_;
+  shared_config::LeaseManager leases_{lease_terms()};
   std::unique_ptr<maintenance::MaintenanceController> controller_;
   std::uint64_t term_ = 1;
   Time leaderless_until_ = 0;
   Time proposal_settles_at_ = 0;
-  shared_config::Entry proposed_;
+  shared_config::ConfigEntry proposed_;
   std::deque<Mail> mail_;
   SimulationResult result_;
 };
