--- a/src/backend/framed/frame_codec.cpp
+++ b/src/backend/framed/frame_codec.cpp
@@ -26,7 +26,7 @@
   return b[0] | b[1] << 8 | b[2] << 16 | static_cast<std::uint32_t>(b[3]) << 24;
 }
 
-std::optional<Ended> read(std::string_view all) {
+std::optional<Ended> parse_shard_result(std::string_view all) {
   if (all.empty() || all[0] != 'E') return std::nullopt;
   const auto lf = all.find('\n');
   if (lf == std::string_view::npos) return std::nullopt;
--- a/src/backend/framed/frame_codec.h
+++ b/src/backend/framed/frame_codec.h
@@ -34,6 +34,6 @@
   std::string_view id, value;  // into what was read
 };
 // Reads a frame's letter and rest. None where it is no well-formed end of a part.
-std::optional<Ended> read(std::string_view letter_and_rest);
+std::optional<Ended> parse_shard_result(std::string_view letter_and_rest);
 
 }  // namespace cairnhub::backend::framed
--- a/src/backend/framed/framed_client.cpp
+++ b/src/backend/framed/framed_client.cpp
@@ -29,12 +29,12 @@
 }  // namespace
 
 // Parts that travel in one frame.
-struct Sender::Call {
+struct FramedClient::Call {
   std::vector<InFlight*> parts;  // still out
   std::uint64_t ends = 0;        // in the connection's stream; 0 = not begun
 };
 
-struct Sender::InFlight {
+struct FramedClient::InFlight {
   dispatch::Attempt* attempt = nullptr;
   Node* node = nullptr;
   Connection* connection = nullptr;
@@ -44,7 +44,7 @@
   bool begun() const { return call && call->ends != 0; }  // handed over: it will be written to its end
 };
 
-struct Sender::Connection {
+struct FramedClient::Connection {
   struct GivenUp {
     std::size_t name;  // hashed
     dispatch::TrafficAccount whose;
@@ -54,7 +54,7 @@
     std::size_t size;
     dispatch::TrafficAccount whose;
   };
-  Sender* sender = nullptr;
+  FramedClient* sender = nullptr;
   Node* node = nullptr;
   Address to;
   bufferevent* bev = nullptr;
@@ -88,7 +88,7 @@
     counted = at;
   }
   // Carries nothing new. One send in vain may just have been slow.
-  bool mute() const { return in_vain > 1 && silence > sender->limits_.connect_within / kVainShare; }
+  bool mute() const { return in_vain > 1 && silence > sender->limits_.connect_timeout / kVainShare; }
   std::size_t calls() const { return waiting.size() + under_way.size(); }
   // Danger: the node closes an idle connection as it is used again. What is written then is lost, and may
   // have run for all that is known here. Bytes on an idle connection answer nothing, unless something was
@@ -103,7 +103,7 @@
   std::uint64_t written() const { return handed - evbuffer_get_length(bufferevent_get_output(bev)); }
 };
 
-struct Sender::Node {
+struct FramedClient::Node {
   EndpointId id = 0;
   std::string name;
   Address address;
@@ -111,16 +111,17 @@
   std::vector<InFlight*> this_turn;
 };
 
-Sender::Sender(event_base* base, SendLimits limits, AttemptEnded ended, std::function<void()> turn)
+FramedClient::FramedClient(event_base* base, FramedClientLimits limits, AttemptEnded ended,
+                           std::function<void()> turn)
     : base_(base), limits_(limits), ended_(std::move(ended)), turn_(std::move(turn)) {}
 
-Sender::~Sender() {
+FramedClient::~FramedClient() {
   for (auto& [id, n] : nodes_)
     for (auto& connection : n->connections) bufferevent_free(connection->bev);
 }
 
-void Sender::update_endpoint(EndpointId id, const std::string& name, const Address& address,
-                             EndpointState state) {
+void FramedClient::update_endpoint(EndpointId id, const std::string& name, const Address& address,
+                                   EndpointState state) {
   auto& slot = nodes_[id];
   if (!slot) slot = std::make_unique<Node>();
   slot->id = id, slot->name = name, slot->address = address;
@@ -133,7 +134,7 @@
   for (InFlight* sent : withdrawn) stop(*sent, dispatch::AttemptEnd::kCancelled);
 }
 
-void Sender::forget_endpoint(EndpointId id) {
+void FramedClient::forget_endpoint(EndpointId id) {
   const auto it = nodes_.find(id);
   if (it == nodes_.end()) return;
   while (!it->second->connections.empty()) break_off(*it->second->connections.back(), nullptr);
@@ -141,7 +142,7 @@
   nodes_.erase(it);
 }
 
-void Sender::close_idle_connections(EndpointId id) {
+void FramedClient::close_idle_connections(EndpointId id) {
   const auto it = nodes_.find(id);
   if (it == nodes_.end()) return;
   std::vector<Connection*> idle;
@@ -154,7 +155,7 @@
   }
 }
 
-void Sender::send(dispatch::Attempt& attempt, EndpointId to) {
+void FramedClient::send(dispatch::Attempt& attempt, EndpointId to) {
   Node& n = *nodes_.at(to);
   auto& sent = in_flight_[&attempt] = std::make_unique<InFlight>();
   sent->attempt = &attempt, sent->node = &n;
@@ -167,16 +168,16 @@
   n.this_turn.push_back(sent.get());
 }
 
-void Sender::cancel(dispatch::Attempt& attempt) {
+void FramedClient::cancel(dispatch::Attempt& attempt) {
   const auto it = in_flight_.find(&attempt);
   if (it != in_flight_.end()) stop(*it->second, dispatch::AttemptEnd::kCancelled);
 }
 
-void Sender::flush() {
+void FramedClient::flush() {
   for (Node* n : std::exchange(touched_, {})) {
     std::vector<InFlight*> parts = std::exchange(n->this_turn, {});
     for (std::size_t i = 0; i < parts.size();) {
-      const std::size_t upto = std::min(parts.size(), i + limits_.parts_a_call);
+      const std::size_t upto = std::min(parts.size(), i + limits_.max_shard_requests_per_batch);
       Connection* connection = connection_with_room(*n);
       if (!connection) {  // none may be opened: not the node's doing, and it never ran
         for (; i < upto; ++i)
@@ -198,21 +199,21 @@
 
 // A connection to the node's present address that carries fewer calls than it may; else a new one; else, when
 // no more may be opened, the one with the fewest.
-Sender::Connection* Sender::connection_with_room(Node& n) {
+FramedClient::Connection* FramedClient::connection_with_room(Node& n) {
   Connection* fewest = nullptr;
   for (auto& connection : n.connections)
     if (connection->to == n.address && !connection->mute() &&
         (!fewest || connection->calls() < fewest->calls()) && connection->reusable())
       fewest = connection.get();
-  if (fewest && fewest->calls() < static_cast<std::size_t>(limits_.calls_a_connection)) return fewest;
-  if (open_ >= limits_.connections && !fewest) close_longest_idle();
-  Connection* fresh = open_ < limits_.connections ? open(n) : nullptr;
+  if (fewest && fewest->calls() < static_cast<std::size_t>(limits_.max_batches_per_connection)) return fewest;
+  if (open_ >= limits_.max_connections && !fewest) close_longest_idle();
+  Connection* fresh = open_ < limits_.max_connections ? open(n) : nullptr;
   return fresh ? fresh : fewest;
 }
 
 // Danger: with more nodes than connections, the first ones met would hold them all until idle long enough,
 // and every part for another node would fail at once. The one idle longest goes; none, where all carry calls.
-void Sender::close_longest_idle() {
+void FramedClient::close_longest_idle() {
   Connection* longest = nullptr;
   for (auto& [id, n] : nodes_)
     for (auto& connection : n->connections)
@@ -222,7 +223,7 @@
   if (longest) break_off(*longest, nullptr);
 }
 
-Sender::Connection* Sender::open(Node& n) {
+FramedClient::Connection* FramedClient::open(Node& n) {
   auto owned = std::make_unique<Connection>();
   owned->sender = this, owned->node = &n, owned->to = n.address;
   Connection* connection = owned.get();
@@ -254,7 +255,7 @@
       },
       [](bufferevent*, void* at) {
         guarded("node write", [c = static_cast<Connection*>(at)] {
-          Sender* s = c->sender;
+          FramedClient* s = c->sender;
           const bool begins = !c->waiting.empty();
           if (begins && s->before_write_) s->before_write_();
           s->write(*c);
@@ -269,13 +270,13 @@
                 });
       },
       connection);
-  connection->limit->start(limits_.connect_within);
+  connection->limit->start(limits_.connect_timeout);
   ++open_;
   n.connections.push_back(std::move(owned));
   return connection;
 }
 
-void Sender::happened(Connection& connection, short what) {
+void FramedClient::happened(Connection& connection, short what) {
   if (what & BEV_EVENT_CONNECTED) {
     connection.up = true;
     connection.limit->stop();
@@ -289,7 +290,7 @@
 
 // Danger: a connection comes up late. The client has no time left, or repeats are no longer dropped, and the
 // attempt would be told a time that is none or take effect twice.
-void Sender::withdraw_expired(Connection& connection) {
+void FramedClient::withdraw_expired(Connection& connection) {
   std::vector<std::pair<InFlight*, dispatch::AttemptEnd>> expired;
   const Time at = now();
   for (const auto& call : connection.waiting)
@@ -303,7 +304,7 @@
 }
 
 // Hands over what waits as long as the kernel takes it.
-void Sender::write(Connection& connection) {
+void FramedClient::write(Connection& connection) {
   withdraw_expired(connection);
   evbuffer* output = bufferevent_get_output(connection.bev);
   while (!connection.waiting.empty() && evbuffer_get_length(output) < kHandedMost) {
@@ -329,11 +330,11 @@
     connection.under_way.push_back(std::move(call));
   }
   if (connection.calls() == 0 && !connection.limit->pending())
-    connection.limit->start(limits_.idle_at_most), connection.idle_since = now();
+    connection.limit->start(limits_.idle_timeout), connection.idle_since = now();
 }
 
 // Counts them, and remembers what may never be written.
-void Sender::handed_over(Connection& connection, const dispatch::Attempt& attempt, std::size_t bytes) {
+void FramedClient::handed_over(Connection& connection, const dispatch::Attempt& attempt, std::size_t bytes) {
   if (!byte_counter_) return;
   byte_counter_({connection.node->id, attempt.account, static_cast<long long>(bytes), 0});
   while (!connection.spans.empty() && connection.spans.front().ends <= connection.written())
@@ -341,7 +342,7 @@
   connection.spans.push_back({connection.spanned += bytes, bytes, attempt.account});
 }
 
-void Sender::readable(Connection& connection) {
+void FramedClient::readable(Connection& connection) {
   evbuffer* input = bufferevent_get_input(connection.bev);
   for (;;) {
     unsigned char head[framed::kLengthBytes];
@@ -359,11 +360,11 @@
   if (evbuffer_get_length(input) == 0)
     connection.rest->stop();
   else if (!connection.rest->pending())
-    connection.rest->start(limits_.connect_within);  // what the network may take at the most
+    connection.rest->start(limits_.connect_timeout);  // what the network may take at the most
 }
 
-const char* Sender::take_frame(Connection& connection, std::string_view bytes) {
-  const auto ended = framed::read(bytes);
+const char* FramedClient::take_frame(Connection& connection, std::string_view bytes) {
+  const auto ended = framed::parse_shard_result(bytes);
   if (!ended) return bytes[0] == 'F' ? "node can't use a frame" : "a malformed frame";
   const auto it = connection.out.find(ended->id);
   const Connection::GivenUp* given_up = connection.was_given_up(ended->id);
@@ -391,21 +392,21 @@
 }
 
 // How far a send on a broken connection had come.
-dispatch::WriteProgress Sender::reached(const InFlight& sent) const {
+dispatch::WriteProgress FramedClient::reached(const InFlight& sent) const {
   if (!sent.connection->up) return dispatch::WriteProgress::kNotConnected;
   return sent.begun() && sent.connection->written() >= sent.call->ends
              ? dispatch::WriteProgress::kFullyWritten
              : dispatch::WriteProgress::kPartlyWritten;
 }
 
-void Sender::cancel_unwritten(dispatch::Attempt& attempt) {
+void FramedClient::cancel_unwritten(dispatch::Attempt& attempt) {
   const auto it = in_flight_.find(&attempt);
   if (it != in_flight_.end() && !it->second->begun()) stop(*it->second, dispatch::AttemptEnd::kCancelled);
 }
 
 // Ends a send from this side: withdrawn where its frame is not begun, else the node is told. Danger: a frame
 // handed over is written to its end, and may run though its last byte was not out when it was given up.
-void Sender::stop(InFlight& sent, dispatch::AttemptEnd why) {
+void FramedClient::stop(InFlight& sent, dispatch::AttemptEnd why) {
   const bool told = sent.begun();
   if (told) {
     const std::string bytes = framed::give_up(sent.attempt->shard_request->name);
@@ -425,7 +426,7 @@
 }
 
 // The one place where a send ends.
-void Sender::finish(InFlight& sent, const dispatch::AttemptResult& result) {
+void FramedClient::finish(InFlight& sent, const dispatch::AttemptResult& result) {
   dispatch::Attempt& attempt = *sent.attempt;
   std::erase(sent.node->this_turn, &sent);
   if (Connection* connection = sent.connection) {
@@ -437,7 +438,7 @@
       connection->waiting.remove_if(done);
       connection->under_way.remove_if(done);
       if (connection->up && connection->calls() == 0) {
-        connection->limit->start(connection->mute() ? 0 : limits_.idle_at_most);
+        connection->limit->start(connection->mute() ? 0 : limits_.idle_timeout);
         connection->idle_since = now();
       }
     }
@@ -447,7 +448,7 @@
 }
 
 // Ends a connection and all that is out on it. No reason: it was idle.
-void Sender::break_off(Connection& connection, const char* why, dispatch::AttemptEnd how) {
+void FramedClient::break_off(Connection& connection, const char* why, dispatch::AttemptEnd how) {
   if (why)
     log("node", "%s: %s, %zu calls on the connection", connection.node->name.c_str(), why,
         connection.calls());
--- a/src/backend/framed/framed_client.h
+++ b/src/backend/framed/framed_client.h
@@ -14,16 +14,16 @@
 
 namespace cairnhub::backend {
 
-struct SendLimits {
-  int calls_a_connection, parts_a_call;
-  Time connect_within, idle_at_most;
-  std::size_t connections;
+struct FramedClientLimits {
+  int max_batches_per_connection, max_shard_requests_per_batch;
+  Time connect_timeout, idle_timeout;
+  std::size_t max_connections;
 };
 
-class Sender : public dispatch::Backend {
+class FramedClient : public dispatch::Backend {
  public:
-  Sender(event_base* base, SendLimits limits, AttemptEnded ended, std::function<void()> turn);
-  ~Sender() override;
+  FramedClient(event_base* base, FramedClientLimits limits, AttemptEnded ended, std::function<void()> turn);
+  ~FramedClient() override;
 
   void update_endpoint(EndpointId id, const std::string& name, const Address& address,
                        EndpointState state) override;
@@ -56,7 +56,7 @@
   void handed_over(Connection& connection, const dispatch::Attempt& attempt, std::size_t bytes);
 
   event_base* base_;
-  SendLimits limits_;
+  FramedClientLimits limits_;
   AttemptEnded ended_;
   std::function<void()> turn_;
   std::size_t open_ = 0;
--- a/src/backend/opensearch/search_client.cpp
+++ b/src/backend/opensearch/search_client.cpp
@@ -18,15 +18,15 @@
 
 }  // namespace
 
-struct Searcher::Way {
+struct SearchClient::Way {
   dispatch::Attempt* attempt = nullptr;
   Node* node = nullptr;
   Link* link = nullptr;  // none while it waits for one
   std::unique_ptr<Timer> timeout;
 };
 
-struct Searcher::Link {
-  Searcher* home = nullptr;
+struct SearchClient::Link {
+  SearchClient* home = nullptr;
   Node* node = nullptr;
   evhttp_connection* connection = nullptr;
   evhttp_request* request = nullptr;
@@ -51,7 +51,7 @@
   }
 };
 
-struct Searcher::Node {
+struct SearchClient::Node {
   EndpointId id = 0;
   std::string name, host;
   std::uint16_t port = 0;
@@ -60,11 +60,12 @@
   std::vector<Way*> this_turn;
 };
 
-Searcher::Searcher(event_base* base, SearchLimits limits, AttemptEnded ended, std::function<void()> turn)
+SearchClient::SearchClient(event_base* base, SearchClientLimits limits, AttemptEnded ended,
+                           std::function<void()> turn)
     : base_(base), limits_(limits), ended_(std::move(ended)), turn_(std::move(turn)), sweep_(base, [this] {
         for (auto& link : std::exchange(dropped_, {}))
           if (link->connection) evhttp_connection_free(link->connection);
-        const Time then = now() - limits_.idle_at_most;
+        const Time then = now() - limits_.idle_timeout;
         bool any = false;
         for (auto& [id, n] : nodes_) {
           std::erase_if(n->links, [&](const auto& l) {
@@ -73,10 +74,10 @@
             return evhttp_connection_free(l->connection), true;
           });
         }
-        if (any && !sweep_.pending()) sweep_.start(limits_.idle_at_most / 4 + 1);
+        if (any && !sweep_.pending()) sweep_.start(limits_.idle_timeout / 4 + 1);
       }) {}
 
-Searcher::~Searcher() {
+SearchClient::~SearchClient() {
   for (auto& link : dropped_)
     if (link->connection) evhttp_connection_free(link->connection);
   for (auto& [id, n] : nodes_)
@@ -86,8 +87,8 @@
     }
 }
 
-void Searcher::update_endpoint(EndpointId id, const std::string& name, const Address& address,
-                               EndpointState state) {
+void SearchClient::update_endpoint(EndpointId id, const std::string& name, const Address& address,
+                                   EndpointState state) {
   auto& slot = nodes_[id];
   if (!slot) slot = std::make_unique<Node>();
   Node& n = *slot;
@@ -105,7 +106,7 @@
   for (Way* w : withdrawn) stop(*w, dispatch::AttemptEnd::kCancelled);
 }
 
-void Searcher::forget_endpoint(EndpointId id) {
+void SearchClient::forget_endpoint(EndpointId id) {
   const auto it = nodes_.find(id);
   if (it == nodes_.end()) return;
   Node& n = *it->second;
@@ -114,7 +115,7 @@
   nodes_.erase(it);
 }
 
-void Searcher::close_idle_connections(EndpointId id) {
+void SearchClient::close_idle_connections(EndpointId id) {
   const auto it = nodes_.find(id);
   if (it == nodes_.end()) return;
   std::vector<Link*> idle;
@@ -123,7 +124,7 @@
   for (Link* link : idle) drop(*link);
 }
 
-void Searcher::send(dispatch::Attempt& attempt, EndpointId to) {
+void SearchClient::send(dispatch::Attempt& attempt, EndpointId to) {
   Node& n = *nodes_.at(to);
   auto& way = ways_[&attempt] = std::make_unique<Way>();
   way->attempt = &attempt, way->node = &n;
@@ -136,7 +137,7 @@
   n.this_turn.push_back(way.get());
 }
 
-void Searcher::flush() {
+void SearchClient::flush() {
   for (Node* n : std::exchange(touched_, {})) {
     for (Way* w : std::exchange(n->this_turn, {})) n->waiting.push_back(w);
     next(*n);
@@ -144,7 +145,7 @@
 }
 
 // What waits goes on as connections are free.
-void Searcher::next(Node& n) {
+void SearchClient::next(Node& n) {
   while (!n.waiting.empty()) {
     Link* link = idle_link(n);
     if (!link) return;  // danger: a node that hangs takes its own connections, and no more
@@ -158,16 +159,17 @@
   }
 }
 
-Searcher::Link* Searcher::idle_link(Node& n) {
+SearchClient::Link* SearchClient::idle_link(Node& n) {
   for (auto& l : n.links)
     if (!l->way) return l.get();
-  if (n.links.size() >= limits_.a_node || open_ >= limits_.connections) return nullptr;
+  if (n.links.size() >= limits_.max_connections_per_endpoint || open_ >= limits_.max_connections)
+    return nullptr;
   auto link = std::make_unique<Link>();
   link->connection = evhttp_connection_base_bufferevent_new(base_, nullptr, nullptr, n.host.c_str(), n.port);
   if (!link->connection) return nullptr;
   link->home = this, link->node = &n;
   evhttp_connection_set_max_headers_size(link->connection, kHeadMost);
-  evhttp_connection_set_max_body_size(link->connection, static_cast<ev_ssize_t>(limits_.body_most));
+  evhttp_connection_set_max_body_size(link->connection, static_cast<ev_ssize_t>(limits_.max_body_bytes));
   evhttp_connection_set_retries(link->connection, 0);
   evbuffer_add_cb(bufferevent_get_output(evhttp_connection_get_bufferevent(link->connection)), Link::counts,
                   link.get());
@@ -179,14 +181,14 @@
   return n.links.back().get();
 }
 
-void Searcher::begin(Way& way, Link& link) {
+void SearchClient::begin(Way& way, Link& link) {
   const dispatch::ShardRequest& p = *way.attempt->shard_request;
   way.link = &link, link.way = &way;
   link.to_write = link.written = link.came = 0, link.error = -1;
   link.request = evhttp_request_new(
       [](evhttp_request* r, void* at) {
         guarded("search answer", [l = static_cast<Link*>(at), r] {
-          Searcher* home = l->home;
+          SearchClient* home = l->home;
           home->answered(*l, r);
           home->turn_();
         });
@@ -210,7 +212,7 @@
   send_without_delay(bufferevent_getfd(evhttp_connection_get_bufferevent(link.connection)));
 }
 
-void Searcher::answered(Link& link, evhttp_request* r) {
+void SearchClient::answered(Link& link, evhttp_request* r) {
   link.request = nullptr;
   Way* way = link.way;
   if (!way) return;  // called off; its connection is on its way out
@@ -231,7 +233,7 @@
   next(node);
 }
 
-void Searcher::broke(Link& link, int why) {
+void SearchClient::broke(Link& link, int why) {
   const bool spoilt =
       why == EVREQ_HTTP_INVALID_HEADER || why == EVREQ_HTTP_DATA_TOO_LONG || why == EVREQ_HTTP_BUFFER_ERROR;
   log("node", "%s: %s", link.node->name.c_str(),
@@ -246,12 +248,12 @@
   next(node);
 }
 
-void Searcher::cancel(dispatch::Attempt& attempt) {
+void SearchClient::cancel(dispatch::Attempt& attempt) {
   const auto it = ways_.find(&attempt);
   if (it != ways_.end()) stop(*it->second, dispatch::AttemptEnd::kCancelled);
 }
 
-void Searcher::cancel_unwritten(dispatch::Attempt& attempt) {
+void SearchClient::cancel_unwritten(dispatch::Attempt& attempt) {
   const auto it = ways_.find(&attempt);
   if (it == ways_.end()) return;
   // Rule 1: one that still waits to be written, or whose connection isn't up, must not go out after the
@@ -260,7 +262,7 @@
   if (!link || link->written == 0) stop(*it->second, dispatch::AttemptEnd::kCancelled);
 }
 
-void Searcher::stop(Way& way, dispatch::AttemptEnd why) {
+void SearchClient::stop(Way& way, dispatch::AttemptEnd why) {
   Link* link = way.link;
   // Danger: bytes handed to the library go out until the connection is closed, which happens here and now.
   const dispatch::WriteProgress far = link ? link->reached() : dispatch::WriteProgress::kNotConnected;
@@ -271,7 +273,7 @@
 }
 
 // The one place where a send ends.
-void Searcher::finish(Way& way, const dispatch::AttemptResult& result) {
+void SearchClient::finish(Way& way, const dispatch::AttemptResult& result) {
   std::erase(way.node->this_turn, &way);
   std::erase(way.node->waiting, &way);
   if (way.link) {
@@ -279,7 +281,7 @@
       byte_counter_({way.node->id, way.attempt->account, static_cast<long long>(way.link->written),
                      static_cast<long long>(way.link->came)});
     way.link->way = nullptr, way.link->idle_since = now();
-    if (!sweep_.pending()) sweep_.start(limits_.idle_at_most / 4 + 1);
+    if (!sweep_.pending()) sweep_.start(limits_.idle_timeout / 4 + 1);
   }
   const auto kept = ways_.extract(way.attempt);
   ended_(*way.attempt, result);
@@ -287,7 +289,7 @@
 
 // Takes a connection out of use: nothing of it is written any more, and it is freed outside the library's
 // callbacks.
-void Searcher::drop(Link& link) {
+void SearchClient::drop(Link& link) {
   if (link.request) evhttp_cancel_request(std::exchange(link.request, nullptr));
   bufferevent* bev = evhttp_connection_get_bufferevent(link.connection);
   evbuffer_remove_cb(bufferevent_get_output(bev), Link::counts, &link);
--- a/src/backend/opensearch/search_client.h
+++ b/src/backend/opensearch/search_client.h
@@ -24,17 +24,17 @@
 
 namespace cairnhub::backend {
 
-struct SearchLimits {
-  std::size_t a_node;       // connections, and so parts out
-  std::size_t connections;  // to all nodes together
-  std::size_t body_most;    // bytes of an answer
-  Time idle_at_most;
+struct SearchClientLimits {
+  std::size_t max_connections_per_endpoint;  // connections, and so parts out
+  std::size_t max_connections;               // to all nodes together
+  std::size_t max_body_bytes;                // bytes of an answer
+  Time idle_timeout;
 };
 
-class Searcher : public dispatch::Backend {
+class SearchClient : public dispatch::Backend {
  public:
-  Searcher(event_base* base, SearchLimits limits, AttemptEnded ended, std::function<void()> turn);
-  ~Searcher() override;
+  SearchClient(event_base* base, SearchClientLimits limits, AttemptEnded ended, std::function<void()> turn);
+  ~SearchClient() override;
 
   void update_endpoint(EndpointId id, const std::string& name, const Address& address,
                        EndpointState state) override;
@@ -60,7 +60,7 @@
   void next(Node& node);
 
   event_base* base_;
-  SearchLimits limits_;
+  SearchClientLimits limits_;
   AttemptEnded ended_;
   std::function<void()> turn_;
   std::size_t open_ = 0;
@@ -72,13 +72,14 @@
 };
 
 // Nodes of either kind behind one door: each send goes where its node's kind is served.
-class MixedHosts : public dispatch::Backend {
+class MultiProtocolBackend : public dispatch::Backend {
  public:
-  MixedHosts(dispatch::Backend& frames, dispatch::Backend& search) : frames_(frames), search_(search) {}
+  MultiProtocolBackend(dispatch::Backend& frames, dispatch::Backend& search)
+      : frames_(frames), search_(search) {}
   // Nodes of this flavor in the list speak the API.
-  void set_flavor(std::string flavor) { flavor_ = std::move(flavor); }
+  void set_search_flavor(std::string flavor) { flavor_ = std::move(flavor); }
   bool is_search(const std::string& flavor) const { return !flavor_.empty() && flavor == flavor_; }
-  void flavored(EndpointId id, const std::string& flavor) {
+  void set_endpoint_flavor(EndpointId id, const std::string& flavor) {
     kinds_[id] = is_search(flavor) ? &search_ : &frames_;
   }
 
--- a/src/server/broker.cpp
+++ b/src/server/broker.cpp
@@ -38,7 +38,7 @@
 constexpr std::size_t kMaxListBytes = std::size_t{4} << 20;
 constexpr std::size_t kListMemoryDivisor = 32;
 
-backend::SendLimits send_limits(const dispatch::Config& config) {
+backend::FramedClientLimits framed_client_limits(const dispatch::Config& config) {
   const auto& settings = config.settings;
   const Time idle_time =
       static_cast<Time>(kIdleTimeShare * static_cast<double>(settings.span("ceilings.keepalive", 10)));
@@ -48,10 +48,11 @@
           (config.max_descriptors - kReservedDescriptors) / kEndpointDescriptorDivisor};
 }
 
-backend::SearchLimits search_limits(const dispatch::Config& config, const BrokerOptions& options) {
-  const backend::SendLimits limits = send_limits(config);
-  return {static_cast<std::size_t>(limits.calls_a_connection), limits.connections,
-          options.max_search_body_bytes, limits.idle_at_most};
+backend::SearchClientLimits search_client_limits(const dispatch::Config& config,
+                                                 const BrokerOptions& options) {
+  const backend::FramedClientLimits limits = framed_client_limits(config);
+  return {static_cast<std::size_t>(limits.max_batches_per_connection), limits.max_connections,
+          options.max_search_body_bytes, limits.idle_timeout};
 }
 
 // Where the list must be subscribed to, one service answers all brokers, and each request loads it.
@@ -73,9 +74,9 @@
   const int class_count;  // of the settings
   RequestPolicy policy;
   dispatch::InFlightRequests requests;
-  backend::Sender sender;
-  backend::Searcher searcher;
-  backend::MixedHosts backends;
+  backend::FramedClient framed_client;
+  backend::SearchClient search_client;
+  backend::MultiProtocolBackend backends;
   dispatch::RequestDispatcher dispatcher;
   dispatch::TwoPhaseRunner two_phase_runner;
   dispatch::EndpointRegistry registry;
@@ -95,19 +96,19 @@
       : class_count(static_cast<int>(settings::op_types(initial.settings).size())),
         policy(initial.seed),
         requests(policy, initial.memory_bytes),
-        sender(
-            base, send_limits(initial),
+        framed_client(
+            base, framed_client_limits(initial),
             [this](dispatch::Attempt& attempt, const dispatch::AttemptResult& result) {
               record_attempt_end(attempt, result);
             },
             [this] { dispatcher.run_actions(); }),
-        searcher(
-            base, search_limits(initial, options),
+        search_client(
+            base, search_client_limits(initial, options),
             [this](dispatch::Attempt& attempt, const dispatch::AttemptResult& result) {
               record_attempt_end(attempt, result);
             },
             [this] { dispatcher.run_actions(); }),
-        backends(sender, searcher),
+        backends(framed_client, search_client),
         dispatcher(
             base, policy, requests, backends,
             [this](EndpointId id) {
@@ -119,7 +120,7 @@
         two_phase_runner(base, policy, requests, dispatcher, class_count),
         registry(policy,
                  [this](EndpointId id, const dispatch::EndpointRegistry::Entry& entry) {
-                   backends.flavored(id, entry.flavor);
+                   backends.set_endpoint_flavor(id, entry.flavor);
                    backends.update_endpoint(id, entry.id, entry.address, entry.state);
                  }),
         request_parser(initial.settings, requests, dispatcher),
@@ -175,7 +176,7 @@
            },
            retry_after});
     }
-    backends.set_flavor(options.search_flavor);
+    backends.set_search_flavor(options.search_flavor);
     for (const auto& two_phase : options.two_phase_classes) {
       two_phase_runner.add_class(two_phase.request_class, two_phase.definition, two_phase.terms);
     }
--- a/tests/mangled.cpp
+++ b/tests/mangled.cpp
@@ -64,7 +64,7 @@
 
 int main() {
   tried("frame", "Em1.3 hit 1840277719 inflight=7,util=0.61\n5be2a07c", 20000,
-        [](const std::string& b) { return backend::framed::read(b).has_value(); });
+        [](const std::string& b) { return backend::framed::parse_shard_result(b).has_value(); });
 
   RequestPolicy listed(1);
   EndpointRegistry members(listed, [](EndpointId, const EndpointRegistry::Entry&) {});
@@ -91,10 +91,10 @@
     RequestPolicy d(1);
     settings::apply(s, d);
     InFlightRequests book(d, 1 << 26);
-    backend::Sender sender(
+    backend::FramedClient client(
         base, {32, 1, kSecond, kSecond, 8}, [](Attempt&, const AttemptResult&) {}, [] {});
     RequestDispatcher route(
-        base, d, book, sender, [](EndpointId) {}, [] { return false; });
+        base, d, book, client, [](EndpointId) {}, [] { return false; });
     frontend::platform::RequestParser parser(s, book, route);
     int n = 0;
     tried("request",
