--- a/src/backend/framed/frame_codec.h
+++ b/src/backend/framed/frame_codec.h
@@ -1,4 +1,5 @@
-// Frames between brokers and nodes: a four-byte length (least significant first), a letter, and the rest.
+// Encodes and decodes the frames exchanged with framed endpoints: a four-byte little-endian length, a letter
+// for the kind of frame, and the payload. The length counts the letter and the payload.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -10,30 +11,34 @@
 namespace cairnhub::backend::framed {
 
 constexpr std::size_t kLengthBytes = 4;
-// No frame from a node may be longer: no body to a client is.
-constexpr std::size_t kLongest = 65536 + 1024;
+// The longest frame accepted from an endpoint: the longest body sent to a client, and its header line.
+constexpr std::size_t kMaxFrameBytes = 65536 + 1024;
 
-// A call is built part by part, then closed; parts of one call run in one frame.
-class Call {
+// Builds the frame of a batch, whose shard requests the endpoint runs together.
+class BatchFrame {
  public:
-  void add(std::string_view id, int shard, Time wait, std::string_view text);
-  std::string finish() const;
-  std::size_t size() const { return rest_.size(); }  // of the parts so far, without what goes before them
+  // Appends a shard request. @param timeout how long the endpoint may take, rounded up to whole milliseconds
+  void add(std::string_view name, int shard, Time timeout, std::string_view body);
+  std::string encode() const;
+  std::size_t payload_bytes() const { return payload_.size(); }
 
  private:
-  std::string rest_;
+  std::string payload_;
 };
-std::string give_up(std::string_view id);
 
-std::uint32_t length(const unsigned char* first_bytes);
+// Returns the frame that tells an endpoint to cancel a shard request.
+std::string encode_cancel(std::string_view name);
 
-// How a part ended at its node.
-struct Ended {
-  enum class How { returned, error, full };
-  How how;
-  std::string_view id, value;  // into what was read
+// Decodes a frame's length from its first kLengthBytes bytes.
+std::uint32_t decode_length(const unsigned char* bytes);
+
+// An endpoint's result for one shard request. Its views point into the parsed frame.
+struct ShardResult {
+  enum class Status { kReturned, kError, kQueueFull };
+  Status status;
+  std::string_view name, value;
 };
-// Reads a frame's letter and rest. None where it is no well-formed end of a part.
-std::optional<Ended> parse_shard_result(std::string_view letter_and_rest);
+// Parses a frame without its length. Returns none unless it is a well-formed result of a shard request.
+std::optional<ShardResult> parse_shard_result(std::string_view frame);
 
 }  // namespace cairnhub::backend::framed
--- a/src/backend/framed/framed_client.cpp
+++ b/src/backend/framed/framed_client.cpp
@@ -16,455 +16,506 @@
 
 namespace {
 
-// Frames are handed to the kernel while less than this waits there, so that the others can be withdrawn.
-constexpr std::size_t kHandedMost = 16384;
-// A connection on which so much of the time in which one must come up was waited in vain isn't trusted:
-// another would be up long before.
-constexpr Time kVainShare = 2;
-// Names given up that a connection remembers: an answer may cross the note.
-constexpr std::size_t kGivenUpMost = 256;
-// Given-up notes to a node that reads nothing: past this the connection goes.
-constexpr std::size_t kUnreadMost = 262144;
+// Batches are buffered for writing only while fewer bytes than this are: the others can still be withdrawn.
+constexpr std::size_t kMaxBufferedBytes = 16384;
+// A connection that left attempts unanswered for longer than this fraction of the connect timeout gets no new
+// ones: a new connection would be established sooner.
+constexpr Time kSilenceDivisor = 2;
+// Cancelled names that a connection remembers, because a result may cross the cancel frame.
+constexpr std::size_t kMaxCancelledNames = 256;
+// A connection is closed when more unwritten bytes than this remain after a cancel frame: the endpoint does
+// not read.
+constexpr std::size_t kMaxUnreadBytes = 262144;
 
 }  // namespace
 
-// Parts that travel in one frame.
-struct FramedClient::Call {
-  std::vector<InFlight*> parts;  // still out
-  std::uint64_t ends = 0;        // in the connection's stream; 0 = not begun
+// Attempts sent in one frame.
+struct FramedClient::Batch {
+  std::vector<InFlightAttempt*> attempts;  // those that have not ended
+  std::uint64_t end_offset = 0;            // of the frame in the connection's output; 0 until it is buffered
 };
 
-struct FramedClient::InFlight {
+struct FramedClient::InFlightAttempt {
   dispatch::Attempt* attempt = nullptr;
-  Node* node = nullptr;
+  EndpointPool* pool = nullptr;
   Connection* connection = nullptr;
-  Call* call = nullptr;
+  Batch* batch = nullptr;
   std::unique_ptr<Timer> timeout;
 
-  bool begun() const { return call && call->ends != 0; }  // handed over: it will be written to its end
+  // A buffered frame is always written to its end.
+  bool is_buffered() const { return batch && batch->end_offset != 0; }
 };
 
 struct FramedClient::Connection {
-  struct GivenUp {
-    std::size_t name;  // hashed
-    dispatch::TrafficAccount whose;
+  struct CancelledName {
+    std::size_t name_hash;
+    dispatch::TrafficAccount account;
   };
-  struct Span {  // handed over, and maybe not written yet; only where bytes are counted
-    std::uint64_t ends;
-    std::size_t size;
-    dispatch::TrafficAccount whose;
+  // Bytes that are buffered and may not be written yet; kept only where bytes are counted.
+  struct BufferedSpan {
+    std::uint64_t end_offset;
+    std::size_t bytes;
+    dispatch::TrafficAccount account;
   };
-  FramedClient* sender = nullptr;
-  Node* node = nullptr;
-  Address to;
+  FramedClient* client = nullptr;
+  EndpointPool* pool = nullptr;
+  Address address;
   bufferevent* bev = nullptr;
-  bool up = false;
-  std::uint64_t handed = 0;   // bytes, over its life
-  std::uint64_t spanned = 0;  // of them, those that spans were made of
-  std::list<std::unique_ptr<Call>> waiting, under_way;
-  std::unordered_map<std::string_view, InFlight*> out;  // by name at the node; looked up, never walked
-  std::unique_ptr<Timer> limit;                         // to connect, then to be idle
-  std::unique_ptr<Timer> rest;                          // of a frame that has begun to come
-  Time idle_since = 0;                                  // when its last call ended, where none is out
-  Time counted = 0;                                     // its last good frame, or silence counted up to here
-  Time silence = 0;                                     // waited in vain since the last good frame
-  int in_vain = 0;                                      // sends given up since then
-  std::deque<GivenUp> given_up;                         // oldest first
-  std::deque<Span> spans;                               // oldest first
-  std::string answered;                                 // the last name
-
-  const GivenUp* was_given_up(std::string_view name) const {
-    const auto it =
-        std::find_if(given_up.begin(), given_up.end(),
-                     [h = std::hash<std::string_view>{}(name)](const auto& g) { return g.name == h; });
-    return it == given_up.end() ? nullptr : &*it;
+  bool is_connected = false;
+  std::uint64_t buffered_bytes = 0;  // since the connection was opened
+  std::uint64_t counted_bytes = 0;   // those of the buffered bytes that spans were made of
+  std::list<std::unique_ptr<Batch>> waiting, buffered;
+  // By the names that the endpoint knows; must not be iterated over.
+  std::unordered_map<std::string_view, InFlightAttempt*> attempts_by_name;
+  std::unique_ptr<Timer> connect_or_idle_timer;  // connect timeout, then idle timeout
+  std::unique_ptr<Timer> frame_timer;            // runs while a frame is incomplete
+  Time idle_since = 0;                           // when the last batch ended, on a connection without batches
+  Time silence_counted_to = 0;                   // the last valid frame, or the time that silence includes
+  Time silence = 0;                              // spent on unanswered attempts since the last valid frame
+  int unanswered_attempts = 0;                   // aborted since the last valid frame
+  std::deque<CancelledName> cancelled_names;     // oldest first
+  std::deque<BufferedSpan> spans;                // oldest first
+  std::string last_result_name;
+
+  const CancelledName* find_cancelled(std::string_view name) const {
+    const auto it = std::find_if(cancelled_names.begin(), cancelled_names.end(),
+                                 [hash = std::hash<std::string_view>{}(name)](const auto& cancelled) {
+                                   return cancelled.name_hash == hash;
+                                 });
+    return it == cancelled_names.end() ? nullptr : &*it;
   }
-  // Danger: a connection that is dead while its node is not, as after a spoilt answer or a cut: each send on
-  // it would be lost, and the node look hung for good. Harm: a slow node pays for a handshake now and then.
-  void waited_in_vain(Time since) {
+  // Records an aborted attempt. A connection can be dead though its endpoint is alive, as after a corrupted
+  // frame or a network cut. Each attempt sent on it would be lost, and the endpoint would look hung for
+  // good. In return, a slow endpoint costs a handshake now and then.
+  void record_unanswered(Time sent_at) {
     const Time at = now();
-    ++in_vain;
-    silence += at - std::max(since, counted);
-    counted = at;
+    ++unanswered_attempts;
+    silence += at - std::max(sent_at, silence_counted_to);
+    silence_counted_to = at;
+  }
+  // An unresponsive connection gets no new batches. A single unanswered attempt may just have been slow.
+  bool is_unresponsive() const {
+    return unanswered_attempts > 1 && silence > client->limits_.connect_timeout / kSilenceDivisor;
   }
-  // Carries nothing new. One send in vain may just have been slow.
-  bool mute() const { return in_vain > 1 && silence > sender->limits_.connect_timeout / kVainShare; }
-  std::size_t calls() const { return waiting.size() + under_way.size(); }
-  // Danger: the node closes an idle connection as it is used again. What is written then is lost, and may
-  // have run for all that is known here. Bytes on an idle connection answer nothing, unless something was
-  // given up there: it is left to be read first. Harm: a system call for each call made.
-  bool reusable() const {
-    if (!up) return true;
-    const bool awaits_bytes = calls() > 0 || !given_up.empty();
-    if (!awaits_bytes && evbuffer_get_length(bufferevent_get_input(bev)) > 0) return false;
+  std::size_t batch_count() const { return waiting.size() + buffered.size(); }
+  // The endpoint may close an idle connection just as it is used again. A batch written then is lost, and as
+  // far as the broker knows may have run. Bytes received on an idle connection are no result, unless an
+  // attempt was cancelled on it: such a connection is read first. The check costs a system call per batch.
+  bool is_reusable() const {
+    if (!is_connected) return true;
+    const bool expects_bytes = batch_count() > 0 || !cancelled_names.empty();
+    if (!expects_bytes && evbuffer_get_length(bufferevent_get_input(bev)) > 0) return false;
     const short ready = ready_events(bufferevent_getfd(bev), POLLIN | POLLRDHUP);
-    return (ready & kPeerClosed) == 0 && (awaits_bytes || (ready & POLLIN) == 0);
+    return (ready & kPeerClosed) == 0 && (expects_bytes || (ready & POLLIN) == 0);
+  }
+  std::uint64_t written_bytes() const {
+    return buffered_bytes - evbuffer_get_length(bufferevent_get_output(bev));
   }
-  std::uint64_t written() const { return handed - evbuffer_get_length(bufferevent_get_output(bev)); }
 };
 
-struct FramedClient::Node {
+struct FramedClient::EndpointPool {
   EndpointId id = 0;
   std::string name;
   Address address;
   std::vector<std::unique_ptr<Connection>> connections;
-  std::vector<InFlight*> this_turn;
+  std::vector<InFlightAttempt*> to_flush;
 };
 
-FramedClient::FramedClient(event_base* base, FramedClientLimits limits, AttemptEnded ended,
-                           std::function<void()> turn)
-    : base_(base), limits_(limits), ended_(std::move(ended)), turn_(std::move(turn)) {}
+FramedClient::FramedClient(event_base* base, FramedClientLimits limits, AttemptEnded on_attempt_ended,
+                           std::function<void()> run_actions)
+    : base_(base),
+      limits_(limits),
+      on_attempt_ended_(std::move(on_attempt_ended)),
+      run_actions_(std::move(run_actions)) {}
 
 FramedClient::~FramedClient() {
-  for (auto& [id, n] : nodes_)
-    for (auto& connection : n->connections) bufferevent_free(connection->bev);
+  for (auto& [id, pool] : pools_)
+    for (auto& connection : pool->connections) bufferevent_free(connection->bev);
 }
 
 void FramedClient::update_endpoint(EndpointId id, const std::string& name, const Address& address,
                                    EndpointState state) {
-  auto& slot = nodes_[id];
-  if (!slot) slot = std::make_unique<Node>();
-  slot->id = id, slot->name = name, slot->address = address;
+  auto& slot = pools_[id];
+  if (!slot) slot = std::make_unique<EndpointPool>();
+  slot->id = id;
+  slot->name = name;
+  slot->address = address;
   if (state == EndpointState::kReady) return;
-  // Rule 3. Danger: a frame that waits for its connection would go out long after the node said it drains.
-  std::vector<InFlight*> withdrawn = slot->this_turn;
+  // A batch that waits for its connection would be written long after the endpoint stated that it drains.
+  std::vector<InFlightAttempt*> withdrawn = slot->to_flush;
   for (auto& connection : slot->connections)
-    for (auto& call : connection->waiting)
-      withdrawn.insert(withdrawn.end(), call->parts.begin(), call->parts.end());
-  for (InFlight* sent : withdrawn) stop(*sent, dispatch::AttemptEnd::kCancelled);
+    for (auto& batch : connection->waiting)
+      withdrawn.insert(withdrawn.end(), batch->attempts.begin(), batch->attempts.end());
+  for (InFlightAttempt* in_flight : withdrawn) abort_attempt(*in_flight, dispatch::AttemptEnd::kCancelled);
 }
 
 void FramedClient::forget_endpoint(EndpointId id) {
-  const auto it = nodes_.find(id);
-  if (it == nodes_.end()) return;
-  while (!it->second->connections.empty()) break_off(*it->second->connections.back(), nullptr);
-  std::erase(touched_, it->second.get());
-  nodes_.erase(it);
+  const auto it = pools_.find(id);
+  if (it == pools_.end()) return;
+  while (!it->second->connections.empty()) close_connection(*it->second->connections.back(), nullptr);
+  std::erase(pools_to_flush_, it->second.get());
+  pools_.erase(it);
 }
 
 void FramedClient::close_idle_connections(EndpointId id) {
-  const auto it = nodes_.find(id);
-  if (it == nodes_.end()) return;
+  const auto it = pools_.find(id);
+  if (it == pools_.end()) return;
   std::vector<Connection*> idle;
   for (auto& connection : it->second->connections)
-    if (connection->calls() == 0) idle.push_back(connection.get());
+    if (connection->batch_count() == 0) idle.push_back(connection.get());
   for (Connection* connection : idle) {
-    const linger at_once{1, 0};
-    setsockopt(bufferevent_getfd(connection->bev), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
-    break_off(*connection, nullptr);
+    const linger discard_unsent{1, 0};
+    setsockopt(bufferevent_getfd(connection->bev), SOL_SOCKET, SO_LINGER, &discard_unsent,
+               sizeof discard_unsent);
+    close_connection(*connection, nullptr);
   }
 }
 
 void FramedClient::send(dispatch::Attempt& attempt, EndpointId to) {
-  Node& n = *nodes_.at(to);
-  auto& sent = in_flight_[&attempt] = std::make_unique<InFlight>();
-  sent->attempt = &attempt, sent->node = &n;
-  sent->timeout = std::make_unique<Timer>(base_, [this, w = sent.get()] {
-    stop(*w, dispatch::AttemptEnd::kTimedOut);
-    turn_();
+  EndpointPool& pool = *pools_.at(to);
+  auto& in_flight = in_flight_[&attempt] = std::make_unique<InFlightAttempt>();
+  in_flight->attempt = &attempt;
+  in_flight->pool = &pool;
+  in_flight->timeout = std::make_unique<Timer>(base_, [this, expired = in_flight.get()] {
+    abort_attempt(*expired, dispatch::AttemptEnd::kTimedOut);
+    run_actions_();
   });
-  sent->timeout->start(attempt.expires_at - now());
-  if (n.this_turn.empty()) touched_.push_back(&n);
-  n.this_turn.push_back(sent.get());
+  in_flight->timeout->start(attempt.expires_at - now());
+  if (pool.to_flush.empty()) pools_to_flush_.push_back(&pool);
+  pool.to_flush.push_back(in_flight.get());
 }
 
 void FramedClient::cancel(dispatch::Attempt& attempt) {
   const auto it = in_flight_.find(&attempt);
-  if (it != in_flight_.end()) stop(*it->second, dispatch::AttemptEnd::kCancelled);
+  if (it != in_flight_.end()) abort_attempt(*it->second, dispatch::AttemptEnd::kCancelled);
 }
 
 void FramedClient::flush() {
-  for (Node* n : std::exchange(touched_, {})) {
-    std::vector<InFlight*> parts = std::exchange(n->this_turn, {});
-    for (std::size_t i = 0; i < parts.size();) {
-      const std::size_t upto = std::min(parts.size(), i + limits_.max_shard_requests_per_batch);
-      Connection* connection = connection_with_room(*n);
-      if (!connection) {  // none may be opened: not the node's doing, and it never ran
-        for (; i < upto; ++i)
-          finish(*parts[i], {dispatch::AttemptEnd::kCancelled, dispatch::WriteProgress::kNotConnected, {}});
+  for (EndpointPool* pool : std::exchange(pools_to_flush_, {})) {
+    std::vector<InFlightAttempt*> attempts = std::exchange(pool->to_flush, {});
+    for (std::size_t i = 0; i < attempts.size();) {
+      const std::size_t batch_end = std::min(attempts.size(), i + limits_.max_shard_requests_per_batch);
+      Connection* connection = connection_for_batch(*pool);
+      if (!connection) {  // no more may be opened: not the endpoint's fault, and nothing has run
+        for (; i < batch_end; ++i)
+          finish(*attempts[i],
+                 {dispatch::AttemptEnd::kCancelled, dispatch::WriteProgress::kNotConnected, {}});
         continue;
       }
-      auto call = std::make_unique<Call>();
-      for (; i < upto; ++i) {
-        call->parts.push_back(parts[i]);
-        parts[i]->connection = connection, parts[i]->call = call.get();
+      auto batch = std::make_unique<Batch>();
+      for (; i < batch_end; ++i) {
+        batch->attempts.push_back(attempts[i]);
+        attempts[i]->connection = connection;
+        attempts[i]->batch = batch.get();
       }
-      connection->waiting.push_back(std::move(call));
-      if (connection->up) connection->limit->stop();
+      connection->waiting.push_back(std::move(batch));
+      if (connection->is_connected) connection->connect_or_idle_timer->stop();
     }
-    for (auto& connection : n->connections)
-      if (connection->up) write(*connection);
+    for (auto& connection : pool->connections)
+      if (connection->is_connected) write_batches(*connection);
   }
 }
 
-// A connection to the node's present address that carries fewer calls than it may; else a new one; else, when
-// no more may be opened, the one with the fewest.
-FramedClient::Connection* FramedClient::connection_with_room(Node& n) {
+// Returns the connection to the endpoint's current address with the fewest batches, where it may carry one
+// more; otherwise a new connection; and when none can be opened, the one with the fewest batches all the
+// same.
+FramedClient::Connection* FramedClient::connection_for_batch(EndpointPool& pool) {
   Connection* fewest = nullptr;
-  for (auto& connection : n.connections)
-    if (connection->to == n.address && !connection->mute() &&
-        (!fewest || connection->calls() < fewest->calls()) && connection->reusable())
+  for (auto& connection : pool.connections)
+    if (connection->address == pool.address && !connection->is_unresponsive() &&
+        (!fewest || connection->batch_count() < fewest->batch_count()) && connection->is_reusable())
       fewest = connection.get();
-  if (fewest && fewest->calls() < static_cast<std::size_t>(limits_.max_batches_per_connection)) return fewest;
-  if (open_ >= limits_.max_connections && !fewest) close_longest_idle();
-  Connection* fresh = open_ < limits_.max_connections ? open(n) : nullptr;
-  return fresh ? fresh : fewest;
+  if (fewest && fewest->batch_count() < static_cast<std::size_t>(limits_.max_batches_per_connection))
+    return fewest;
+  if (open_connections_ >= limits_.max_connections && !fewest) close_longest_idle_connection();
+  Connection* opened = open_connections_ < limits_.max_connections ? open_connection(pool) : nullptr;
+  return opened ? opened : fewest;
 }
 
-// Danger: with more nodes than connections, the first ones met would hold them all until idle long enough,
-// and every part for another node would fail at once. The one idle longest goes; none, where all carry calls.
-void FramedClient::close_longest_idle() {
+// Closes no connection where each carries batches. With more endpoints than connections, the endpoints used
+// first would otherwise hold all connections until the idle timeout, and each attempt at another endpoint
+// would fail at once.
+void FramedClient::close_longest_idle_connection() {
   Connection* longest = nullptr;
-  for (auto& [id, n] : nodes_)
-    for (auto& connection : n->connections)
-      if (connection->up && connection->calls() == 0 &&
+  for (auto& [id, pool] : pools_)
+    for (auto& connection : pool->connections)
+      if (connection->is_connected && connection->batch_count() == 0 &&
           (!longest || connection->idle_since < longest->idle_since))
         longest = connection.get();
-  if (longest) break_off(*longest, nullptr);
+  if (longest) close_connection(*longest, nullptr);
 }
 
-FramedClient::Connection* FramedClient::open(Node& n) {
+FramedClient::Connection* FramedClient::open_connection(EndpointPool& pool) {
   auto owned = std::make_unique<Connection>();
-  owned->sender = this, owned->node = &n, owned->to = n.address;
+  owned->client = this;
+  owned->pool = &pool;
+  owned->address = pool.address;
   Connection* connection = owned.get();
   connection->bev = bufferevent_socket_new(base_, -1, BEV_OPT_CLOSE_ON_FREE);
   if (!connection->bev) return nullptr;
-  connection->limit = std::make_unique<Timer>(base_, [this, connection] {
-    break_off(*connection, connection->up ? nullptr : "not connected in time");
-    turn_();
+  connection->connect_or_idle_timer = std::make_unique<Timer>(base_, [this, connection] {
+    close_connection(*connection, connection->is_connected ? nullptr : "not connected within the time limit");
+    run_actions_();
   });
-  // Danger: a length or a line that is never filled. The node is of no further use on this connection, and
-  // all that waits there would wait for nothing.
-  connection->rest = std::make_unique<Timer>(base_, [this, connection] {
-    break_off(*connection, "a frame without end", dispatch::AttemptEnd::kInvalidResponse);
-    turn_();
+  // An endpoint that never completes a frame sends no further results on this connection, and the attempts
+  // on it would wait in vain.
+  connection->frame_timer = std::make_unique<Timer>(base_, [this, connection] {
+    close_connection(*connection, "frame not completed within the time limit",
+                     dispatch::AttemptEnd::kInvalidResponse);
+    run_actions_();
   });
-  if (bufferevent_socket_connect(connection->bev, reinterpret_cast<sockaddr*>(&connection->to.at),
-                                 connection->to.length) != 0) {
+  if (bufferevent_socket_connect(connection->bev, reinterpret_cast<sockaddr*>(&connection->address.at),
+                                 connection->address.length) != 0) {
     bufferevent_free(connection->bev);
     return nullptr;
   }
-  // After the attempt to connect: one that fails at once is told here, and not by a callback as well.
+  // Set only after connecting, so that an immediate failure isn't reported to a callback as well.
   bufferevent_setcb(
       connection->bev,
-      [](bufferevent*, void* at) {
-        guarded("node read", [c = static_cast<Connection*>(at), s = static_cast<Connection*>(at)->sender] {
-          s->readable(*c);
-          s->turn_();
+      [](bufferevent*, void* context) {
+        guarded("endpoint read", [connection = static_cast<Connection*>(context),
+                                  client = static_cast<Connection*>(context)->client] {
+          client->handle_readable(*connection);
+          client->run_actions_();
         });
       },
-      [](bufferevent*, void* at) {
-        guarded("node write", [c = static_cast<Connection*>(at)] {
-          FramedClient* s = c->sender;
-          const bool begins = !c->waiting.empty();
-          if (begins && s->before_write_) s->before_write_();
-          s->write(*c);
-          if (begins) s->turn_();
+      [](bufferevent*, void* context) {
+        guarded("endpoint write", [connection = static_cast<Connection*>(context)] {
+          FramedClient* client = connection->client;
+          const bool has_waiting = !connection->waiting.empty();
+          if (has_waiting && client->before_write_) client->before_write_();
+          client->write_batches(*connection);
+          if (has_waiting) client->run_actions_();
         });
       },
-      [](bufferevent*, short what, void* at) {
-        guarded("node event",
-                [c = static_cast<Connection*>(at), s = static_cast<Connection*>(at)->sender, what] {
-                  s->happened(*c, what);
-                  s->turn_();
-                });
+      [](bufferevent*, short events, void* context) {
+        guarded("endpoint event", [connection = static_cast<Connection*>(context),
+                                   client = static_cast<Connection*>(context)->client, events] {
+          client->handle_event(*connection, events);
+          client->run_actions_();
+        });
       },
       connection);
-  connection->limit->start(limits_.connect_timeout);
-  ++open_;
-  n.connections.push_back(std::move(owned));
+  connection->connect_or_idle_timer->start(limits_.connect_timeout);
+  ++open_connections_;
+  pool.connections.push_back(std::move(owned));
   return connection;
 }
 
-void FramedClient::happened(Connection& connection, short what) {
-  if (what & BEV_EVENT_CONNECTED) {
-    connection.up = true;
-    connection.limit->stop();
+void FramedClient::handle_event(Connection& connection, short events) {
+  if (events & BEV_EVENT_CONNECTED) {
+    connection.is_connected = true;
+    connection.connect_or_idle_timer->stop();
     send_without_delay(bufferevent_getfd(connection.bev));
     bufferevent_enable(connection.bev, EV_READ | EV_WRITE);
     if (before_write_) before_write_();
-    return write(connection);
+    return write_batches(connection);
   }
-  break_off(connection, what & BEV_EVENT_EOF ? "ended by the node" : connection.up ? "reset" : "refused");
+  close_connection(connection, events & BEV_EVENT_EOF    ? "closed by the endpoint"
+                               : connection.is_connected ? "connection reset"
+                                                         : "connection refused");
 }
 
-// Danger: a connection comes up late. The client has no time left, or repeats are no longer dropped, and the
-// attempt would be told a time that is none or take effect twice.
-void FramedClient::withdraw_expired(Connection& connection) {
-  std::vector<std::pair<InFlight*, dispatch::AttemptEnd>> expired;
+// A connection may be established late. By then an attempt may have expired, and the endpoint would be told a
+// timeout that has passed; or the endpoint may no longer drop repeats, and the attempt could take effect
+// twice.
+void FramedClient::abort_expired(Connection& connection) {
+  std::vector<std::pair<InFlightAttempt*, dispatch::AttemptEnd>> expired;
   const Time at = now();
-  for (const auto& call : connection.waiting)
-    for (InFlight* sent : call->parts) {
-      if (sent->attempt->expires_at <= at)
-        expired.emplace_back(sent, dispatch::AttemptEnd::kTimedOut);
-      else if (sent->attempt->begins_by < at)
-        expired.emplace_back(sent, dispatch::AttemptEnd::kCancelled);
+  for (const auto& batch : connection.waiting)
+    for (InFlightAttempt* in_flight : batch->attempts) {
+      if (in_flight->attempt->expires_at <= at) {
+        expired.emplace_back(in_flight, dispatch::AttemptEnd::kTimedOut);
+      } else if (in_flight->attempt->begins_by < at) {
+        expired.emplace_back(in_flight, dispatch::AttemptEnd::kCancelled);
+      }
     }
-  for (const auto& [sent, why] : expired) stop(*sent, why);
+  for (const auto& [in_flight, end] : expired) abort_attempt(*in_flight, end);
 }
 
-// Hands over what waits as long as the kernel takes it.
-void FramedClient::write(Connection& connection) {
-  withdraw_expired(connection);
+// Buffers waiting batches for writing while fewer than kMaxBufferedBytes are unwritten.
+void FramedClient::write_batches(Connection& connection) {
+  abort_expired(connection);
   evbuffer* output = bufferevent_get_output(connection.bev);
-  while (!connection.waiting.empty() && evbuffer_get_length(output) < kHandedMost) {
-    std::unique_ptr<Call> call = std::move(connection.waiting.front());
+  while (!connection.waiting.empty() && evbuffer_get_length(output) < kMaxBufferedBytes) {
+    std::unique_ptr<Batch> batch = std::move(connection.waiting.front());
     connection.waiting.pop_front();
-    framed::Call bytes;
-    std::vector<std::size_t> upto;  // of the parts' bytes, where they are counted
-    for (InFlight* sent : call->parts) {
-      const dispatch::ShardRequest& p = *sent->attempt->shard_request;
-      bytes.add(p.name, p.shard, sent->attempt->expires_at - now(),
-                p.http_target.empty() ? (p.body ? *p.body : p.request->body)
-                                      : p.http_target + "\n" + (p.body ? *p.body : p.request->body));
-      connection.out[p.name] = sent;
-      if (byte_counter_) upto.push_back(bytes.size());
+    framed::BatchFrame frame;
+    std::vector<std::size_t> payload_ends;  // of the attempts, where bytes are counted
+    for (InFlightAttempt* in_flight : batch->attempts) {
+      const dispatch::ShardRequest& shard_request = *in_flight->attempt->shard_request;
+      const std::string& body = shard_request.body ? *shard_request.body : shard_request.request->body;
+      frame.add(shard_request.name, shard_request.shard, in_flight->attempt->expires_at - now(),
+                shard_request.http_target.empty() ? body : shard_request.http_target + "\n" + body);
+      connection.attempts_by_name[shard_request.name] = in_flight;
+      if (byte_counter_) payload_ends.push_back(frame.payload_bytes());
     }
-    const std::string all = bytes.finish();
-    call->ends = connection.handed += all.size();
-    bufferevent_write(connection.bev, all.data(), all.size());
-    // What goes before them all counts as the first one's.
-    for (std::size_t i = 0; i < upto.size(); ++i)
-      handed_over(connection, *call->parts[i]->attempt,
-                  i > 0 ? upto[i] - upto[i - 1] : upto[0] + all.size() - bytes.size());
-    connection.under_way.push_back(std::move(call));
+    const std::string bytes = frame.encode();
+    connection.buffered_bytes += bytes.size();
+    batch->end_offset = connection.buffered_bytes;
+    bufferevent_write(connection.bev, bytes.data(), bytes.size());
+    // The frame's length and letter are counted with the first attempt.
+    for (std::size_t i = 0; i < payload_ends.size(); ++i)
+      count_buffered_bytes(connection, *batch->attempts[i]->attempt,
+                           i > 0 ? payload_ends[i] - payload_ends[i - 1]
+                                 : payload_ends[0] + bytes.size() - frame.payload_bytes());
+    connection.buffered.push_back(std::move(batch));
+  }
+  if (connection.batch_count() == 0 && !connection.connect_or_idle_timer->pending()) {
+    connection.connect_or_idle_timer->start(limits_.idle_timeout);
+    connection.idle_since = now();
   }
-  if (connection.calls() == 0 && !connection.limit->pending())
-    connection.limit->start(limits_.idle_timeout), connection.idle_since = now();
 }
 
-// Counts them, and remembers what may never be written.
-void FramedClient::handed_over(Connection& connection, const dispatch::Attempt& attempt, std::size_t bytes) {
+// Counts the bytes, and remembers them: those that are never written are subtracted again.
+void FramedClient::count_buffered_bytes(Connection& connection, const dispatch::Attempt& attempt,
+                                        std::size_t bytes) {
   if (!byte_counter_) return;
-  byte_counter_({connection.node->id, attempt.account, static_cast<long long>(bytes), 0});
-  while (!connection.spans.empty() && connection.spans.front().ends <= connection.written())
+  byte_counter_({connection.pool->id, attempt.account, static_cast<long long>(bytes), 0});
+  while (!connection.spans.empty() && connection.spans.front().end_offset <= connection.written_bytes())
     connection.spans.pop_front();
-  connection.spans.push_back({connection.spanned += bytes, bytes, attempt.account});
+  connection.counted_bytes += bytes;
+  connection.spans.push_back({connection.counted_bytes, bytes, attempt.account});
 }
 
-void FramedClient::readable(Connection& connection) {
+void FramedClient::handle_readable(Connection& connection) {
   evbuffer* input = bufferevent_get_input(connection.bev);
   for (;;) {
-    unsigned char head[framed::kLengthBytes];
-    const bool begun = evbuffer_copyout(input, head, sizeof head) == static_cast<ev_ssize_t>(sizeof head);
-    const std::size_t n = begun ? framed::length(head) : 1;
-    if (n == 0 || n > framed::kLongest)
-      return break_off(connection, "a frame of no possible length", dispatch::AttemptEnd::kInvalidResponse);
-    if (!begun || evbuffer_get_length(input) < sizeof head + n) break;
-    const char* bytes = reinterpret_cast<const char*>(evbuffer_pullup(input, sizeof head + n)) + sizeof head;
-    if (const char* wrong = take_frame(connection, {bytes, n}))
-      return break_off(connection, wrong, dispatch::AttemptEnd::kInvalidResponse);
-    evbuffer_drain(input, sizeof head + n);
-    connection.rest->stop();
+    unsigned char prefix[framed::kLengthBytes];
+    const bool has_length =
+        evbuffer_copyout(input, prefix, sizeof prefix) == static_cast<ev_ssize_t>(sizeof prefix);
+    const std::size_t length = has_length ? framed::decode_length(prefix) : 1;
+    if (length == 0 || length > framed::kMaxFrameBytes)
+      return close_connection(connection, "frame length out of range",
+                              dispatch::AttemptEnd::kInvalidResponse);
+    if (!has_length || evbuffer_get_length(input) < sizeof prefix + length) break;
+    const char* frame =
+        reinterpret_cast<const char*>(evbuffer_pullup(input, sizeof prefix + length)) + sizeof prefix;
+    if (const char* error = handle_frame(connection, {frame, length}))
+      return close_connection(connection, error, dispatch::AttemptEnd::kInvalidResponse);
+    evbuffer_drain(input, sizeof prefix + length);
+    connection.frame_timer->stop();
+  }
+  if (evbuffer_get_length(input) == 0) {
+    connection.frame_timer->stop();
+  } else if (!connection.frame_timer->pending()) {
+    connection.frame_timer->start(limits_.connect_timeout);  // the longest delay that the network may cause
   }
-  if (evbuffer_get_length(input) == 0)
-    connection.rest->stop();
-  else if (!connection.rest->pending())
-    connection.rest->start(limits_.connect_timeout);  // what the network may take at the most
 }
 
-const char* FramedClient::take_frame(Connection& connection, std::string_view bytes) {
-  const auto ended = framed::parse_shard_result(bytes);
-  if (!ended) return bytes[0] == 'F' ? "node can't use a frame" : "a malformed frame";
-  const auto it = connection.out.find(ended->id);
-  const Connection::GivenUp* given_up = connection.was_given_up(ended->id);
+const char* FramedClient::handle_frame(Connection& connection, std::string_view frame) {
+  const auto result = framed::parse_shard_result(frame);
+  if (!result) return frame[0] == 'F' ? "endpoint rejected a frame" : "malformed frame";
+  const auto it = connection.attempts_by_name.find(result->name);
+  const Connection::CancelledName* cancelled = connection.find_cancelled(result->name);
   if (byte_counter_) {
-    const dispatch::TrafficAccount whose = it != connection.out.end() ? it->second->attempt->account
-                                           : given_up                 ? given_up->whose
-                                                                      : dispatch::TrafficAccount{};
+    const dispatch::TrafficAccount account = it != connection.attempts_by_name.end()
+                                                 ? it->second->attempt->account
+                                             : cancelled ? cancelled->account
+                                                         : dispatch::TrafficAccount{};
     byte_counter_(
-        {connection.node->id, whose, 0, static_cast<long long>(bytes.size() + framed::kLengthBytes)});
+        {connection.pool->id, account, 0, static_cast<long long>(frame.size() + framed::kLengthBytes)});
   }
-  // One for a part that is over crosses its give-up, or is a second copy: ordinary, dropped. Danger: one for
-  // a part of nobody stands for one that waits, and the node says nothing more here.
-  if (it == connection.out.end())
-    return given_up || ended->id == connection.answered ? nullptr : "a part of nobody";
-  connection.counted = now(), connection.silence = 0, connection.in_vain = 0;
-  connection.answered = ended->id;
-  // Danger: a name used again after it was given up here. This may be the value made for the earlier one.
-  const dispatch::AttemptEnd end = given_up ? dispatch::AttemptEnd::kError
-                                   : ended->how == framed::Ended::How::returned
-                                       ? dispatch::AttemptEnd::kReturned
-                                   : ended->how == framed::Ended::How::full ? dispatch::AttemptEnd::kQueueFull
-                                                                            : dispatch::AttemptEnd::kError;
-  finish(*it->second, {end, dispatch::WriteProgress::kFullyWritten, ended->value});
+  // A result for an ended attempt is dropped: it crossed the cancel frame, or repeats the last result. One
+  // for an unknown attempt replaced a result that is still expected, and the endpoint won't send that one.
+  if (it == connection.attempts_by_name.end())
+    return cancelled || result->name == connection.last_result_name ? nullptr
+                                                                    : "result for an unknown shard request";
+  connection.silence_counted_to = now();
+  connection.silence = 0;
+  connection.unanswered_attempts = 0;
+  connection.last_result_name = result->name;
+  // Where a cancelled name was used again, the value may belong to the earlier attempt.
+  const dispatch::AttemptEnd end =
+      cancelled                                                   ? dispatch::AttemptEnd::kError
+      : result->status == framed::ShardResult::Status::kReturned  ? dispatch::AttemptEnd::kReturned
+      : result->status == framed::ShardResult::Status::kQueueFull ? dispatch::AttemptEnd::kQueueFull
+                                                                  : dispatch::AttemptEnd::kError;
+  finish(*it->second, {end, dispatch::WriteProgress::kFullyWritten, result->value});
   return nullptr;
 }
 
-// How far a send on a broken connection had come.
-dispatch::WriteProgress FramedClient::reached(const InFlight& sent) const {
-  if (!sent.connection->up) return dispatch::WriteProgress::kNotConnected;
-  return sent.begun() && sent.connection->written() >= sent.call->ends
+// Returns how much of an attempt was written to a connection that is being closed.
+dispatch::WriteProgress FramedClient::write_progress(const InFlightAttempt& in_flight) const {
+  if (!in_flight.connection->is_connected) return dispatch::WriteProgress::kNotConnected;
+  return in_flight.is_buffered() && in_flight.connection->written_bytes() >= in_flight.batch->end_offset
              ? dispatch::WriteProgress::kFullyWritten
              : dispatch::WriteProgress::kPartlyWritten;
 }
 
 void FramedClient::cancel_unwritten(dispatch::Attempt& attempt) {
   const auto it = in_flight_.find(&attempt);
-  if (it != in_flight_.end() && !it->second->begun()) stop(*it->second, dispatch::AttemptEnd::kCancelled);
+  if (it != in_flight_.end() && !it->second->is_buffered())
+    abort_attempt(*it->second, dispatch::AttemptEnd::kCancelled);
 }
 
-// Ends a send from this side: withdrawn where its frame is not begun, else the node is told. Danger: a frame
-// handed over is written to its end, and may run though its last byte was not out when it was given up.
-void FramedClient::stop(InFlight& sent, dispatch::AttemptEnd why) {
-  const bool told = sent.begun();
-  if (told) {
-    const std::string bytes = framed::give_up(sent.attempt->shard_request->name);
-    sent.connection->handed += bytes.size();
-    bufferevent_write(sent.connection->bev, bytes.data(), bytes.size());
-    handed_over(*sent.connection, *sent.attempt, bytes.size());
-    sent.connection->given_up.push_back(
-        {std::hash<std::string_view>{}(sent.attempt->shard_request->name), sent.attempt->account});
-    if (sent.connection->given_up.size() > kGivenUpMost) sent.connection->given_up.pop_front();
-    sent.connection->waited_in_vain(sent.attempt->sent_at);
+// Ends an attempt before its result: withdraws it where its frame is not buffered, else sends a cancel frame.
+// A buffered frame is written to its end, and may run though its last byte was not written at this time.
+void FramedClient::abort_attempt(InFlightAttempt& in_flight, dispatch::AttemptEnd end) {
+  const bool is_buffered = in_flight.is_buffered();
+  if (is_buffered) {
+    const std::string frame = framed::encode_cancel(in_flight.attempt->shard_request->name);
+    in_flight.connection->buffered_bytes += frame.size();
+    bufferevent_write(in_flight.connection->bev, frame.data(), frame.size());
+    count_buffered_bytes(*in_flight.connection, *in_flight.attempt, frame.size());
+    in_flight.connection->cancelled_names.push_back(
+        {std::hash<std::string_view>{}(in_flight.attempt->shard_request->name), in_flight.attempt->account});
+    if (in_flight.connection->cancelled_names.size() > kMaxCancelledNames)
+      in_flight.connection->cancelled_names.pop_front();
+    in_flight.connection->record_unanswered(in_flight.attempt->sent_at);
   }
-  Connection* connection = sent.connection;
-  finish(sent,
-         {why, told ? dispatch::WriteProgress::kFullyWritten : dispatch::WriteProgress::kNotConnected, {}});
-  if (told && evbuffer_get_length(bufferevent_get_output(connection->bev)) > kUnreadMost)
-    break_off(*connection, "reads nothing");
+  Connection* connection = in_flight.connection;
+  finish(in_flight,
+         {end,
+          is_buffered ? dispatch::WriteProgress::kFullyWritten : dispatch::WriteProgress::kNotConnected,
+          {}});
+  if (is_buffered && evbuffer_get_length(bufferevent_get_output(connection->bev)) > kMaxUnreadBytes)
+    close_connection(*connection, "endpoint does not read");
 }
 
-// The one place where a send ends.
-void FramedClient::finish(InFlight& sent, const dispatch::AttemptResult& result) {
-  dispatch::Attempt& attempt = *sent.attempt;
-  std::erase(sent.node->this_turn, &sent);
-  if (Connection* connection = sent.connection) {
-    const auto named = connection->out.find(attempt.shard_request->name);
-    if (named != connection->out.end() && named->second == &sent) connection->out.erase(named);
-    std::erase(sent.call->parts, &sent);
-    if (sent.call->parts.empty()) {
-      const auto done = [&](const auto& c) { return c.get() == sent.call; };
-      connection->waiting.remove_if(done);
-      connection->under_way.remove_if(done);
-      if (connection->up && connection->calls() == 0) {
-        connection->limit->start(connection->mute() ? 0 : limits_.idle_timeout);
+// Every attempt ends here.
+void FramedClient::finish(InFlightAttempt& in_flight, const dispatch::AttemptResult& result) {
+  dispatch::Attempt& attempt = *in_flight.attempt;
+  std::erase(in_flight.pool->to_flush, &in_flight);
+  if (Connection* connection = in_flight.connection) {
+    const auto it = connection->attempts_by_name.find(attempt.shard_request->name);
+    if (it != connection->attempts_by_name.end() && it->second == &in_flight)
+      connection->attempts_by_name.erase(it);
+    std::erase(in_flight.batch->attempts, &in_flight);
+    if (in_flight.batch->attempts.empty()) {
+      const auto has_ended = [&](const auto& other) { return other.get() == in_flight.batch; };
+      connection->waiting.remove_if(has_ended);
+      connection->buffered.remove_if(has_ended);
+      if (connection->is_connected && connection->batch_count() == 0) {
+        connection->connect_or_idle_timer->start(connection->is_unresponsive() ? 0 : limits_.idle_timeout);
         connection->idle_since = now();
       }
     }
   }
-  const auto kept = in_flight_.extract(&attempt);  // until told
-  ended_(attempt, result);
+  const auto kept = in_flight_.extract(&attempt);  // destroyed after the end is reported
+  on_attempt_ended_(attempt, result);
 }
 
-// Ends a connection and all that is out on it. No reason: it was idle.
-void FramedClient::break_off(Connection& connection, const char* why, dispatch::AttemptEnd how) {
-  if (why)
-    log("node", "%s: %s, %zu calls on the connection", connection.node->name.c_str(), why,
-        connection.calls());
-  std::vector<std::pair<InFlight*, dispatch::WriteProgress>> lost;
-  for (auto* calls : {&connection.under_way, &connection.waiting})
-    for (auto& call : *calls)
-      for (InFlight* sent : call->parts) lost.emplace_back(sent, reached(*sent));
-  for (auto& [sent, far] : lost) finish(*sent, {how, far, {}});
-  const std::uint64_t out = connection.written();
-  for (const Connection::Span& s : connection.spans)
-    if (s.ends > out)
-      byte_counter_({connection.node->id, s.whose,
-                     -static_cast<long long>(std::min<std::uint64_t>(s.size, s.ends - out)), 0});
+// Closes a connection and ends all attempts on it.
+void FramedClient::close_connection(Connection& connection, const char* reason, dispatch::AttemptEnd end) {
+  if (reason)
+    log("node", "%s: %s; %zu batches on the connection", connection.pool->name.c_str(), reason,
+        connection.batch_count());
+  std::vector<std::pair<InFlightAttempt*, dispatch::WriteProgress>> lost;
+  for (auto* batches : {&connection.buffered, &connection.waiting})
+    for (auto& batch : *batches)
+      for (InFlightAttempt* in_flight : batch->attempts)
+        lost.emplace_back(in_flight, write_progress(*in_flight));
+  for (auto& [in_flight, progress] : lost) finish(*in_flight, {end, progress, {}});
+  const std::uint64_t written = connection.written_bytes();
+  for (const Connection::BufferedSpan& span : connection.spans)
+    if (span.end_offset > written)
+      byte_counter_({connection.pool->id, span.account,
+                     -static_cast<long long>(std::min<std::uint64_t>(span.bytes, span.end_offset - written)),
+                     0});
   bufferevent_free(connection.bev);
-  --open_;
-  std::erase_if(connection.node->connections, [&](const auto& c) { return c.get() == &connection; });
+  --open_connections_;
+  std::erase_if(connection.pool->connections, [&](const auto& c) { return c.get() == &connection; });
 }
 
 }  // namespace cairnhub::backend
--- a/src/backend/framed/framed_client.h
+++ b/src/backend/framed/framed_client.h
@@ -1,4 +1,4 @@
-// Hosts that speak the platform's frames: connections to nodes, frames, time-outs.
+// Client of endpoints that speak the platform's frames: connection pools, batching and timeouts.
 #pragma once
 #include <event2/bufferevent.h>
 
@@ -17,12 +17,17 @@
 struct FramedClientLimits {
   int max_batches_per_connection, max_shard_requests_per_batch;
   Time connect_timeout, idle_timeout;
-  std::size_t max_connections;
+  std::size_t max_connections;  // to all endpoints together
 };
 
+// Sends attempts in batches over pooled connections. The attempts sent to an endpoint in one turn share
+// batches.
 class FramedClient : public dispatch::Backend {
  public:
-  FramedClient(event_base* base, FramedClientLimits limits, AttemptEnded ended, std::function<void()> turn);
+  // @param on_attempt_ended called once for each attempt
+  // @param run_actions called at the end of each event that may have ended attempts
+  FramedClient(event_base* base, FramedClientLimits limits, AttemptEnded on_attempt_ended,
+               std::function<void()> run_actions);
   ~FramedClient() override;
 
   void update_endpoint(EndpointId id, const std::string& name, const Address& address,
@@ -35,34 +40,36 @@
   void flush() override;
 
  private:
-  struct Call;
+  struct Batch;
   struct Connection;
-  struct Node;
-  struct InFlight;
+  struct EndpointPool;
+  struct InFlightAttempt;
 
-  Connection* connection_with_room(Node& node);
-  Connection* open(Node& node);
-  void close_longest_idle();
-  void write(Connection& connection);
-  void withdraw_expired(Connection& connection);
-  void readable(Connection& connection);
-  void happened(Connection& connection, short what);
-  const char* take_frame(Connection& connection, std::string_view bytes);  // what is wrong with it, or null
-  void break_off(Connection& connection, const char* why,
-                 dispatch::AttemptEnd how = dispatch::AttemptEnd::kConnectionLost);
-  void finish(InFlight& sent, const dispatch::AttemptResult& result);
-  void stop(InFlight& sent, dispatch::AttemptEnd why);
-  dispatch::WriteProgress reached(const InFlight& sent) const;
-  void handed_over(Connection& connection, const dispatch::Attempt& attempt, std::size_t bytes);
+  Connection* connection_for_batch(EndpointPool& pool);
+  Connection* open_connection(EndpointPool& pool);
+  void close_longest_idle_connection();
+  void write_batches(Connection& connection);
+  void abort_expired(Connection& connection);
+  void handle_readable(Connection& connection);
+  void handle_event(Connection& connection, short events);
+  // Returns why the frame is invalid, or null.
+  const char* handle_frame(Connection& connection, std::string_view frame);
+  // @param reason for the log; null where the connection isn't at fault
+  void close_connection(Connection& connection, const char* reason,
+                        dispatch::AttemptEnd end = dispatch::AttemptEnd::kConnectionLost);
+  void finish(InFlightAttempt& in_flight, const dispatch::AttemptResult& result);
+  void abort_attempt(InFlightAttempt& in_flight, dispatch::AttemptEnd end);
+  dispatch::WriteProgress write_progress(const InFlightAttempt& in_flight) const;
+  void count_buffered_bytes(Connection& connection, const dispatch::Attempt& attempt, std::size_t bytes);
 
   event_base* base_;
   FramedClientLimits limits_;
-  AttemptEnded ended_;
-  std::function<void()> turn_;
-  std::size_t open_ = 0;
-  std::map<EndpointId, std::unique_ptr<Node>> nodes_;
-  std::map<dispatch::Attempt*, std::unique_ptr<InFlight>> in_flight_;
-  std::vector<Node*> touched_;  // this turn, in the order first sent to
+  AttemptEnded on_attempt_ended_;
+  std::function<void()> run_actions_;
+  std::size_t open_connections_ = 0;
+  std::map<EndpointId, std::unique_ptr<EndpointPool>> pools_;
+  std::map<dispatch::Attempt*, std::unique_ptr<InFlightAttempt>> in_flight_;
+  std::vector<EndpointPool*> pools_to_flush_;  // in the order in which this turn first sent to them
 };
 
 }  // namespace cairnhub::backend
--- a/src/backend/opensearch/search_client.cpp
+++ b/src/backend/opensearch/search_client.cpp
@@ -14,294 +14,325 @@
 
 namespace {
 
-constexpr std::size_t kHeadMost = 16384;
+constexpr std::size_t kMaxHeaderBytes = 16384;
 
 }  // namespace
 
-struct SearchClient::Way {
+struct SearchClient::InFlightAttempt {
   dispatch::Attempt* attempt = nullptr;
-  Node* node = nullptr;
-  Link* link = nullptr;  // none while it waits for one
+  EndpointPool* pool = nullptr;
+  Connection* connection = nullptr;  // null while the attempt waits for one
   std::unique_ptr<Timer> timeout;
 };
 
-struct SearchClient::Link {
-  SearchClient* home = nullptr;
-  Node* node = nullptr;
-  evhttp_connection* connection = nullptr;
+struct SearchClient::Connection {
+  SearchClient* client = nullptr;
+  EndpointPool* pool = nullptr;
+  evhttp_connection* http = nullptr;
   evhttp_request* request = nullptr;
-  Way* way = nullptr;
-  std::size_t to_write = 0, written = 0;  // of the request in hand
-  std::size_t came = 0;                   // for it, where bytes are counted
-  int error = -1;                         // what the library said of it
+  InFlightAttempt* in_flight = nullptr;
+  // Of the current request.
+  std::size_t queued_bytes = 0, written_bytes = 0;
+  std::size_t received_bytes = 0;  // only where bytes are counted
+  int error = -1;                  // evhttp_request_error, or -1
   Time idle_since = 0;
 
-  static void counts(evbuffer*, const evbuffer_cb_info* info, void* at) {
-    Link& l = *static_cast<Link*>(at);
-    l.to_write += info->n_added, l.written += info->n_deleted;
+  static void count_output(evbuffer*, const evbuffer_cb_info* info, void* context) {
+    Connection& connection = *static_cast<Connection*>(context);
+    connection.queued_bytes += info->n_added;
+    connection.written_bytes += info->n_deleted;
   }
-  static void counts_in(evbuffer*, const evbuffer_cb_info* info, void* at) {
-    static_cast<Link*>(at)->came += info->n_added;
+  static void count_input(evbuffer*, const evbuffer_cb_info* info, void* context) {
+    static_cast<Connection*>(context)->received_bytes += info->n_added;
   }
-  bool wholly_written() const { return to_write > 0 && written >= to_write; }
-  dispatch::WriteProgress reached() const {
-    return to_write == 0 || written == 0 ? dispatch::WriteProgress::kNotConnected
-           : wholly_written()            ? dispatch::WriteProgress::kFullyWritten
-                                         : dispatch::WriteProgress::kPartlyWritten;
+  bool is_fully_written() const { return queued_bytes > 0 && written_bytes >= queued_bytes; }
+  dispatch::WriteProgress write_progress() const {
+    return queued_bytes == 0 || written_bytes == 0 ? dispatch::WriteProgress::kNotConnected
+           : is_fully_written()                    ? dispatch::WriteProgress::kFullyWritten
+                                                   : dispatch::WriteProgress::kPartlyWritten;
   }
 };
 
-struct SearchClient::Node {
+struct SearchClient::EndpointPool {
   EndpointId id = 0;
   std::string name, host;
   std::uint16_t port = 0;
-  std::vector<std::unique_ptr<Link>> links;
-  std::deque<Way*> waiting;
-  std::vector<Way*> this_turn;
+  std::vector<std::unique_ptr<Connection>> connections;
+  std::deque<InFlightAttempt*> waiting;
+  std::vector<InFlightAttempt*> to_flush;
 };
 
-SearchClient::SearchClient(event_base* base, SearchClientLimits limits, AttemptEnded ended,
-                           std::function<void()> turn)
-    : base_(base), limits_(limits), ended_(std::move(ended)), turn_(std::move(turn)), sweep_(base, [this] {
-        for (auto& link : std::exchange(dropped_, {}))
-          if (link->connection) evhttp_connection_free(link->connection);
-        const Time then = now() - limits_.idle_timeout;
-        bool any = false;
-        for (auto& [id, n] : nodes_) {
-          std::erase_if(n->links, [&](const auto& l) {
-            if (l->way || l->idle_since > then) return any = true, false;
-            --open_;
-            return evhttp_connection_free(l->connection), true;
+SearchClient::SearchClient(event_base* base, SearchClientLimits limits, AttemptEnded on_attempt_ended,
+                           std::function<void()> run_actions)
+    : base_(base),
+      limits_(limits),
+      on_attempt_ended_(std::move(on_attempt_ended)),
+      run_actions_(std::move(run_actions)),
+      cleanup_timer_(base, [this] {
+        for (auto& connection : std::exchange(closed_connections_, {}))
+          if (connection->http) evhttp_connection_free(connection->http);
+        const Time idle_limit = now() - limits_.idle_timeout;
+        bool has_connections = false;
+        for (auto& [id, pool] : pools_) {
+          std::erase_if(pool->connections, [&](const auto& connection) {
+            if (connection->in_flight || connection->idle_since > idle_limit) {
+              has_connections = true;
+              return false;
+            }
+            --open_connections_;
+            evhttp_connection_free(connection->http);
+            return true;
           });
         }
-        if (any && !sweep_.pending()) sweep_.start(limits_.idle_timeout / 4 + 1);
+        if (has_connections && !cleanup_timer_.pending()) cleanup_timer_.start(limits_.idle_timeout / 4 + 1);
       }) {}
 
 SearchClient::~SearchClient() {
-  for (auto& link : dropped_)
-    if (link->connection) evhttp_connection_free(link->connection);
-  for (auto& [id, n] : nodes_)
-    for (auto& l : n->links) {
-      if (l->request) evhttp_cancel_request(l->request);
-      evhttp_connection_free(l->connection);
+  for (auto& connection : closed_connections_)
+    if (connection->http) evhttp_connection_free(connection->http);
+  for (auto& [id, pool] : pools_)
+    for (auto& connection : pool->connections) {
+      if (connection->request) evhttp_cancel_request(connection->request);
+      evhttp_connection_free(connection->http);
     }
 }
 
 void SearchClient::update_endpoint(EndpointId id, const std::string& name, const Address& address,
                                    EndpointState state) {
-  auto& slot = nodes_[id];
-  if (!slot) slot = std::make_unique<Node>();
-  Node& n = *slot;
-  char text[64] = "";
+  auto& slot = pools_[id];
+  if (!slot) slot = std::make_unique<EndpointPool>();
+  EndpointPool& pool = *slot;
+  char host[64] = "";
   const auto* in = reinterpret_cast<const sockaddr_in*>(&address.at);
   const auto* in6 = reinterpret_cast<const sockaddr_in6*>(&address.at);
-  const bool six = address.at.ss_family == AF_INET6;
-  evutil_inet_ntop(address.at.ss_family, six ? static_cast<const void*>(&in6->sin6_addr) : &in->sin_addr,
-                   text, sizeof text);
-  n.id = id, n.name = name, n.host = text, n.port = ntohs(six ? in6->sin6_port : in->sin_port);
+  const bool is_ipv6 = address.at.ss_family == AF_INET6;
+  evutil_inet_ntop(address.at.ss_family, is_ipv6 ? static_cast<const void*>(&in6->sin6_addr) : &in->sin_addr,
+                   host, sizeof host);
+  pool.id = id;
+  pool.name = name;
+  pool.host = host;
+  pool.port = ntohs(is_ipv6 ? in6->sin6_port : in->sin_port);
   if (state == EndpointState::kReady) return;
-  // Rule 3. Danger: what waits for a free connection would be sent long after the node said it drains.
-  std::vector<Way*> withdrawn(n.waiting.begin(), n.waiting.end());
-  withdrawn.insert(withdrawn.end(), n.this_turn.begin(), n.this_turn.end());
-  for (Way* w : withdrawn) stop(*w, dispatch::AttemptEnd::kCancelled);
+  // An attempt that waits for a connection would be sent long after the endpoint stated that it drains.
+  std::vector<InFlightAttempt*> withdrawn(pool.waiting.begin(), pool.waiting.end());
+  withdrawn.insert(withdrawn.end(), pool.to_flush.begin(), pool.to_flush.end());
+  for (InFlightAttempt* in_flight : withdrawn) abort_attempt(*in_flight, dispatch::AttemptEnd::kCancelled);
 }
 
 void SearchClient::forget_endpoint(EndpointId id) {
-  const auto it = nodes_.find(id);
-  if (it == nodes_.end()) return;
-  Node& n = *it->second;
-  while (!n.links.empty()) drop(*n.links.back());
-  std::erase(touched_, &n);
-  nodes_.erase(it);
+  const auto it = pools_.find(id);
+  if (it == pools_.end()) return;
+  EndpointPool& pool = *it->second;
+  while (!pool.connections.empty()) close_connection(*pool.connections.back());
+  std::erase(pools_to_flush_, &pool);
+  pools_.erase(it);
 }
 
 void SearchClient::close_idle_connections(EndpointId id) {
-  const auto it = nodes_.find(id);
-  if (it == nodes_.end()) return;
-  std::vector<Link*> idle;
-  for (auto& link : it->second->links)
-    if (!link->way) idle.push_back(link.get());
-  for (Link* link : idle) drop(*link);
+  const auto it = pools_.find(id);
+  if (it == pools_.end()) return;
+  std::vector<Connection*> idle;
+  for (auto& connection : it->second->connections)
+    if (!connection->in_flight) idle.push_back(connection.get());
+  for (Connection* connection : idle) close_connection(*connection);
 }
 
 void SearchClient::send(dispatch::Attempt& attempt, EndpointId to) {
-  Node& n = *nodes_.at(to);
-  auto& way = ways_[&attempt] = std::make_unique<Way>();
-  way->attempt = &attempt, way->node = &n;
-  way->timeout = std::make_unique<Timer>(base_, [this, w = way.get()] {
-    stop(*w, dispatch::AttemptEnd::kTimedOut);
-    turn_();
+  EndpointPool& pool = *pools_.at(to);
+  auto& in_flight = in_flight_[&attempt] = std::make_unique<InFlightAttempt>();
+  in_flight->attempt = &attempt;
+  in_flight->pool = &pool;
+  in_flight->timeout = std::make_unique<Timer>(base_, [this, expired = in_flight.get()] {
+    abort_attempt(*expired, dispatch::AttemptEnd::kTimedOut);
+    run_actions_();
   });
-  way->timeout->start(attempt.expires_at - now());
-  if (n.this_turn.empty()) touched_.push_back(&n);
-  n.this_turn.push_back(way.get());
+  in_flight->timeout->start(attempt.expires_at - now());
+  if (pool.to_flush.empty()) pools_to_flush_.push_back(&pool);
+  pool.to_flush.push_back(in_flight.get());
 }
 
 void SearchClient::flush() {
-  for (Node* n : std::exchange(touched_, {})) {
-    for (Way* w : std::exchange(n->this_turn, {})) n->waiting.push_back(w);
-    next(*n);
+  for (EndpointPool* pool : std::exchange(pools_to_flush_, {})) {
+    for (InFlightAttempt* in_flight : std::exchange(pool->to_flush, {})) pool->waiting.push_back(in_flight);
+    start_waiting(*pool);
   }
 }
 
-// What waits goes on as connections are free.
-void SearchClient::next(Node& n) {
-  while (!n.waiting.empty()) {
-    Link* link = idle_link(n);
-    if (!link) return;  // danger: a node that hangs takes its own connections, and no more
-    Way* way = n.waiting.front();
-    n.waiting.pop_front();
-    // Danger: what may have run would be repeated after repeats are no longer dropped.
-    if (way->attempt->begins_by < now())
-      finish(*way, {dispatch::AttemptEnd::kCancelled, dispatch::WriteProgress::kNotConnected, {}});
-    else
-      begin(*way, *link);
+// Starts waiting attempts while connections are free.
+void SearchClient::start_waiting(EndpointPool& pool) {
+  while (!pool.waiting.empty()) {
+    Connection* connection = idle_connection(pool);
+    if (!connection) return;  // an endpoint that hangs holds only its own connections
+    InFlightAttempt* in_flight = pool.waiting.front();
+    pool.waiting.pop_front();
+    // After begins_by the endpoint may no longer drop repeats, and a repeated attempt could run twice.
+    if (in_flight->attempt->begins_by < now()) {
+      finish(*in_flight, {dispatch::AttemptEnd::kCancelled, dispatch::WriteProgress::kNotConnected, {}});
+    } else {
+      start_request(*in_flight, *connection);
+    }
   }
 }
 
-SearchClient::Link* SearchClient::idle_link(Node& n) {
-  for (auto& l : n.links)
-    if (!l->way) return l.get();
-  if (n.links.size() >= limits_.max_connections_per_endpoint || open_ >= limits_.max_connections)
+SearchClient::Connection* SearchClient::idle_connection(EndpointPool& pool) {
+  for (auto& connection : pool.connections)
+    if (!connection->in_flight) return connection.get();
+  if (pool.connections.size() >= limits_.max_connections_per_endpoint ||
+      open_connections_ >= limits_.max_connections)
     return nullptr;
-  auto link = std::make_unique<Link>();
-  link->connection = evhttp_connection_base_bufferevent_new(base_, nullptr, nullptr, n.host.c_str(), n.port);
-  if (!link->connection) return nullptr;
-  link->home = this, link->node = &n;
-  evhttp_connection_set_max_headers_size(link->connection, kHeadMost);
-  evhttp_connection_set_max_body_size(link->connection, static_cast<ev_ssize_t>(limits_.max_body_bytes));
-  evhttp_connection_set_retries(link->connection, 0);
-  evbuffer_add_cb(bufferevent_get_output(evhttp_connection_get_bufferevent(link->connection)), Link::counts,
-                  link.get());
+  auto connection = std::make_unique<Connection>();
+  connection->http =
+      evhttp_connection_base_bufferevent_new(base_, nullptr, nullptr, pool.host.c_str(), pool.port);
+  if (!connection->http) return nullptr;
+  connection->client = this;
+  connection->pool = &pool;
+  evhttp_connection_set_max_headers_size(connection->http, kMaxHeaderBytes);
+  evhttp_connection_set_max_body_size(connection->http, static_cast<ev_ssize_t>(limits_.max_body_bytes));
+  evhttp_connection_set_retries(connection->http, 0);
+  evbuffer_add_cb(bufferevent_get_output(evhttp_connection_get_bufferevent(connection->http)),
+                  Connection::count_output, connection.get());
   if (byte_counter_)
-    evbuffer_add_cb(bufferevent_get_input(evhttp_connection_get_bufferevent(link->connection)),
-                    Link::counts_in, link.get());
-  ++open_;
-  n.links.push_back(std::move(link));
-  return n.links.back().get();
+    evbuffer_add_cb(bufferevent_get_input(evhttp_connection_get_bufferevent(connection->http)),
+                    Connection::count_input, connection.get());
+  ++open_connections_;
+  pool.connections.push_back(std::move(connection));
+  return pool.connections.back().get();
 }
 
-void SearchClient::begin(Way& way, Link& link) {
-  const dispatch::ShardRequest& p = *way.attempt->shard_request;
-  way.link = &link, link.way = &way;
-  link.to_write = link.written = link.came = 0, link.error = -1;
-  link.request = evhttp_request_new(
-      [](evhttp_request* r, void* at) {
-        guarded("search answer", [l = static_cast<Link*>(at), r] {
-          SearchClient* home = l->home;
-          home->answered(*l, r);
-          home->turn_();
+void SearchClient::start_request(InFlightAttempt& in_flight, Connection& connection) {
+  const dispatch::ShardRequest& shard_request = *in_flight.attempt->shard_request;
+  in_flight.connection = &connection;
+  connection.in_flight = &in_flight;
+  connection.queued_bytes = 0;
+  connection.written_bytes = 0;
+  connection.received_bytes = 0;
+  connection.error = -1;
+  connection.request = evhttp_request_new(
+      [](evhttp_request* response, void* context) {
+        guarded("search response", [connection = static_cast<Connection*>(context), response] {
+          SearchClient* client = connection->client;
+          client->handle_response(*connection, response);
+          client->run_actions_();
         });
       },
-      &link);
-  evhttp_request_set_error_cb(link.request, [](evhttp_request_error why, void* at) {
-    static_cast<Link*>(at)->error = static_cast<int>(why);
+      &connection);
+  evhttp_request_set_error_cb(connection.request, [](evhttp_request_error error, void* context) {
+    static_cast<Connection*>(context)->error = static_cast<int>(error);
   });
-  evkeyvalq* headers = evhttp_request_get_output_headers(link.request);
-  evhttp_add_header(headers, "Host", (link.node->host + ":" + std::to_string(link.node->port)).c_str());
+  evkeyvalq* headers = evhttp_request_get_output_headers(connection.request);
+  evhttp_add_header(headers, "Host",
+                    (connection.pool->host + ":" + std::to_string(connection.pool->port)).c_str());
   evhttp_add_header(headers, "Content-Type", "application/json");
-  const std::string& text = p.body ? *p.body : p.request->body;
-  evbuffer_add(evhttp_request_get_output_buffer(link.request), text.data(), text.size());
-  const timeval until{std::max<Time>(0, way.attempt->expires_at - now()) / kSecond + 1, 0};
-  evhttp_connection_set_timeout_tv(link.connection, &until);
-  if (evhttp_make_request(link.connection, link.request, EVHTTP_REQ_POST, p.http_target.c_str()) != 0) {
-    link.request = nullptr;  // gone with the failure
-    finish(way, {dispatch::AttemptEnd::kConnectionLost, dispatch::WriteProgress::kNotConnected, {}});
-    return drop(link);
+  const std::string& body = shard_request.body ? *shard_request.body : shard_request.request->body;
+  evbuffer_add(evhttp_request_get_output_buffer(connection.request), body.data(), body.size());
+  const timeval timeout{std::max<Time>(0, in_flight.attempt->expires_at - now()) / kSecond + 1, 0};
+  evhttp_connection_set_timeout_tv(connection.http, &timeout);
+  if (evhttp_make_request(connection.http, connection.request, EVHTTP_REQ_POST,
+                          shard_request.http_target.c_str()) != 0) {
+    connection.request = nullptr;  // freed by the failed call
+    finish(in_flight, {dispatch::AttemptEnd::kConnectionLost, dispatch::WriteProgress::kNotConnected, {}});
+    return close_connection(connection);
   }
-  send_without_delay(bufferevent_getfd(evhttp_connection_get_bufferevent(link.connection)));
+  send_without_delay(bufferevent_getfd(evhttp_connection_get_bufferevent(connection.http)));
 }
 
-void SearchClient::answered(Link& link, evhttp_request* r) {
-  link.request = nullptr;
-  Way* way = link.way;
-  if (!way) return;  // called off; its connection is on its way out
-  const int status = r ? evhttp_request_get_response_code(r) : 0;
-  if (status == 0) return broke(link, link.error);
-  evbuffer* body = evhttp_request_get_input_buffer(r);
-  const std::size_t n = evbuffer_get_length(body);
-  const std::string_view value(n ? reinterpret_cast<const char*>(evbuffer_pullup(body, -1)) : "", n);
+void SearchClient::handle_response(Connection& connection, evhttp_request* response) {
+  connection.request = nullptr;
+  InFlightAttempt* in_flight = connection.in_flight;
+  if (!in_flight) return;  // cancelled; the connection is being closed
+  const int status = response ? evhttp_request_get_response_code(response) : 0;
+  if (status == 0) return handle_failure(connection, connection.error);
+  evbuffer* body = evhttp_request_get_input_buffer(response);
+  const std::size_t body_bytes = evbuffer_get_length(body);
+  const std::string_view value(body_bytes ? reinterpret_cast<const char*>(evbuffer_pullup(body, -1)) : "",
+                               body_bytes);
   const dispatch::AttemptEnd end = status == 200                    ? dispatch::AttemptEnd::kReturned
                                    : status == 429 || status == 503 ? dispatch::AttemptEnd::kQueueFull
                                                                     : dispatch::AttemptEnd::kError;
-  // An early refusal may come before the request was read whole; what is left of it can't be told from the
-  // next.
-  const bool reusable = link.wholly_written();
-  Node& node = *link.node;
-  finish(*way, {end, dispatch::WriteProgress::kFullyWritten, value});
-  if (!reusable) drop(link);
-  next(node);
+  // An endpoint may refuse a request before it has read all of it. The rest would then be taken for the start
+  // of the next request.
+  const bool is_reusable = connection.is_fully_written();
+  EndpointPool& pool = *connection.pool;
+  finish(*in_flight, {end, dispatch::WriteProgress::kFullyWritten, value});
+  if (!is_reusable) close_connection(connection);
+  start_waiting(pool);
 }
 
-void SearchClient::broke(Link& link, int why) {
-  const bool spoilt =
-      why == EVREQ_HTTP_INVALID_HEADER || why == EVREQ_HTTP_DATA_TOO_LONG || why == EVREQ_HTTP_BUFFER_ERROR;
-  log("node", "%s: %s", link.node->name.c_str(),
-      spoilt                                                     ? "an answer that is no HTTP or too long"
-      : link.reached() == dispatch::WriteProgress::kNotConnected ? "refused or not connected"
-                                                                 : "broken with a search out");
-  Node& node = *link.node;
-  finish(*link.way, {spoilt ? dispatch::AttemptEnd::kInvalidResponse : dispatch::AttemptEnd::kConnectionLost,
-                     link.reached(),
-                     {}});
-  drop(link);
-  next(node);
+void SearchClient::handle_failure(Connection& connection, int error) {
+  const bool is_invalid = error == EVREQ_HTTP_INVALID_HEADER || error == EVREQ_HTTP_DATA_TOO_LONG ||
+                          error == EVREQ_HTTP_BUFFER_ERROR;
+  log("node", "%s: %s", connection.pool->name.c_str(),
+      is_invalid ? "response is not valid HTTP or too long"
+      : connection.write_progress() == dispatch::WriteProgress::kNotConnected
+          ? "connection refused or not established"
+          : "connection lost during a search");
+  EndpointPool& pool = *connection.pool;
+  finish(*connection.in_flight,
+         {is_invalid ? dispatch::AttemptEnd::kInvalidResponse : dispatch::AttemptEnd::kConnectionLost,
+          connection.write_progress(),
+          {}});
+  close_connection(connection);
+  start_waiting(pool);
 }
 
 void SearchClient::cancel(dispatch::Attempt& attempt) {
-  const auto it = ways_.find(&attempt);
-  if (it != ways_.end()) stop(*it->second, dispatch::AttemptEnd::kCancelled);
+  const auto it = in_flight_.find(&attempt);
+  if (it != in_flight_.end()) abort_attempt(*it->second, dispatch::AttemptEnd::kCancelled);
 }
 
 void SearchClient::cancel_unwritten(dispatch::Attempt& attempt) {
-  const auto it = ways_.find(&attempt);
-  if (it == ways_.end()) return;
-  // Rule 1: one that still waits to be written, or whose connection isn't up, must not go out after the
-  // answer.
-  const Link* link = it->second->link;
-  if (!link || link->written == 0) stop(*it->second, dispatch::AttemptEnd::kCancelled);
+  const auto it = in_flight_.find(&attempt);
+  if (it == in_flight_.end()) return;
+  // An attempt that waits to be written, or for its connection, must not be sent after the answer to its
+  // request.
+  const Connection* connection = it->second->connection;
+  if (!connection || connection->written_bytes == 0)
+    abort_attempt(*it->second, dispatch::AttemptEnd::kCancelled);
 }
 
-void SearchClient::stop(Way& way, dispatch::AttemptEnd why) {
-  Link* link = way.link;
-  // Danger: bytes handed to the library go out until the connection is closed, which happens here and now.
-  const dispatch::WriteProgress far = link ? link->reached() : dispatch::WriteProgress::kNotConnected;
-  Node& node = *way.node;
-  finish(way, {why, far, {}});
-  if (link) drop(*link);
-  next(node);
+void SearchClient::abort_attempt(InFlightAttempt& in_flight, dispatch::AttemptEnd end) {
+  Connection* connection = in_flight.connection;
+  // libevent keeps writing what it has buffered until the connection is closed, which happens below.
+  const dispatch::WriteProgress progress =
+      connection ? connection->write_progress() : dispatch::WriteProgress::kNotConnected;
+  EndpointPool& pool = *in_flight.pool;
+  finish(in_flight, {end, progress, {}});
+  if (connection) close_connection(*connection);
+  start_waiting(pool);
 }
 
-// The one place where a send ends.
-void SearchClient::finish(Way& way, const dispatch::AttemptResult& result) {
-  std::erase(way.node->this_turn, &way);
-  std::erase(way.node->waiting, &way);
-  if (way.link) {
+// Every attempt ends here.
+void SearchClient::finish(InFlightAttempt& in_flight, const dispatch::AttemptResult& result) {
+  std::erase(in_flight.pool->to_flush, &in_flight);
+  std::erase(in_flight.pool->waiting, &in_flight);
+  if (in_flight.connection) {
     if (byte_counter_)
-      byte_counter_({way.node->id, way.attempt->account, static_cast<long long>(way.link->written),
-                     static_cast<long long>(way.link->came)});
-    way.link->way = nullptr, way.link->idle_since = now();
-    if (!sweep_.pending()) sweep_.start(limits_.idle_timeout / 4 + 1);
+      byte_counter_({in_flight.pool->id, in_flight.attempt->account,
+                     static_cast<long long>(in_flight.connection->written_bytes),
+                     static_cast<long long>(in_flight.connection->received_bytes)});
+    in_flight.connection->in_flight = nullptr;
+    in_flight.connection->idle_since = now();
+    if (!cleanup_timer_.pending()) cleanup_timer_.start(limits_.idle_timeout / 4 + 1);
   }
-  const auto kept = ways_.extract(way.attempt);
-  ended_(*way.attempt, result);
+  const auto kept = in_flight_.extract(in_flight.attempt);  // destroyed after the end is reported
+  on_attempt_ended_(*in_flight.attempt, result);
 }
 
-// Takes a connection out of use: nothing of it is written any more, and it is freed outside the library's
-// callbacks.
-void SearchClient::drop(Link& link) {
-  if (link.request) evhttp_cancel_request(std::exchange(link.request, nullptr));
-  bufferevent* bev = evhttp_connection_get_bufferevent(link.connection);
-  evbuffer_remove_cb(bufferevent_get_output(bev), Link::counts, &link);
-  if (byte_counter_) evbuffer_remove_cb(bufferevent_get_input(bev), Link::counts_in, &link);
+// Stops all reading and writing on a connection at once. It is freed later, outside libevent's callbacks.
+void SearchClient::close_connection(Connection& connection) {
+  if (connection.request) evhttp_cancel_request(std::exchange(connection.request, nullptr));
+  bufferevent* bev = evhttp_connection_get_bufferevent(connection.http);
+  evbuffer_remove_cb(bufferevent_get_output(bev), Connection::count_output, &connection);
+  if (byte_counter_) evbuffer_remove_cb(bufferevent_get_input(bev), Connection::count_input, &connection);
   bufferevent_disable(bev, EV_READ | EV_WRITE);
   if (const int fd = bufferevent_getfd(bev); fd >= 0) shutdown(fd, SHUT_RDWR);
-  --open_;
-  auto& links = link.node->links;
-  const auto it = std::find_if(links.begin(), links.end(), [&](const auto& l) { return l.get() == &link; });
-  dropped_.push_back(std::move(*it));
-  links.erase(it);
-  sweep_.start(0);
+  --open_connections_;
+  auto& connections = connection.pool->connections;
+  const auto it = std::find_if(connections.begin(), connections.end(),
+                               [&](const auto& other) { return other.get() == &connection; });
+  closed_connections_.push_back(std::move(*it));
+  connections.erase(it);
+  cleanup_timer_.start(0);
 }
 
 }  // namespace cairnhub::backend
--- a/src/backend/opensearch/search_client.h
+++ b/src/backend/opensearch/search_client.h
@@ -1,13 +1,14 @@
-// Hosts that speak the OpenSearch-style query API: one HTTP/1.1 request a part, on pooled and bounded
-// connections. A send is called off by closing its connection, which such hosts take for a client that has
-// gone. What comes back ends in the outcomes that frames have:
+// Client of endpoints that speak the OpenSearch-style search API: one HTTP/1.1 request for each shard
+// request, on pooled connections. An attempt is cancelled by closing its connection, which such endpoints
+// take for a client that has gone. Outcomes, in the terms of dispatch::AttemptEnd:
 //
-//   200                                        returned, the body its value
-//   429, 503                                   full: turned away, surely not run
-//   any other status                           error: may have run
-//   refused, not up in time, or broken before the last byte of the request was written   surely not run
-//   broken after that                          may have run
-//   a head or body that is no HTTP, too long, or never ends                              spoilt: may have run
+//   200                                  kReturned, with the body as the value
+//   429, 503                             kQueueFull: refused, has not run
+//   any other status                     kError: may have run
+//   connection refused, or lost          kConnectionLost: may have run only if the request's last byte was
+//                                        written
+//   head or body not HTTP, or too long   kInvalidResponse: may have run
+//   no whole response in time            kTimedOut: may have run only if the request's last byte was written
 #pragma once
 #include <event2/util.h>
 
@@ -25,15 +26,20 @@
 namespace cairnhub::backend {
 
 struct SearchClientLimits {
-  std::size_t max_connections_per_endpoint;  // connections, and so parts out
-  std::size_t max_connections;               // to all nodes together
-  std::size_t max_body_bytes;                // bytes of an answer
+  std::size_t max_connections_per_endpoint;  // each carries one attempt
+  std::size_t max_connections;               // to all endpoints together
+  std::size_t max_body_bytes;                // of a response
   Time idle_timeout;
 };
 
+// Sends each attempt as an HTTP request. Attempts wait while all connections that their endpoint may have are
+// in use.
 class SearchClient : public dispatch::Backend {
  public:
-  SearchClient(event_base* base, SearchClientLimits limits, AttemptEnded ended, std::function<void()> turn);
+  // @param on_attempt_ended called once for each attempt
+  // @param run_actions called at the end of each event that may have ended attempts
+  SearchClient(event_base* base, SearchClientLimits limits, AttemptEnded on_attempt_ended,
+               std::function<void()> run_actions);
   ~SearchClient() override;
 
   void update_endpoint(EndpointId id, const std::string& name, const Address& address,
@@ -46,70 +52,78 @@
   void flush() override;
 
  private:
-  struct Link;
-  struct Node;
-  struct Way;
+  struct Connection;
+  struct EndpointPool;
+  struct InFlightAttempt;
 
-  void begin(Way& way, Link& link);
-  Link* idle_link(Node& node);
-  void answered(Link& link, evhttp_request* request);
-  void broke(Link& link, int why);
-  void stop(Way& way, dispatch::AttemptEnd why);
-  void finish(Way& way, const dispatch::AttemptResult& result);
-  void drop(Link& link);
-  void next(Node& node);
+  void start_request(InFlightAttempt& in_flight, Connection& connection);
+  Connection* idle_connection(EndpointPool& pool);  // opens one where allowed; null if none is free
+  void handle_response(Connection& connection, evhttp_request* response);
+  void handle_failure(Connection& connection, int error);
+  void abort_attempt(InFlightAttempt& in_flight, dispatch::AttemptEnd end);
+  void finish(InFlightAttempt& in_flight, const dispatch::AttemptResult& result);
+  void close_connection(Connection& connection);
+  void start_waiting(EndpointPool& pool);
 
   event_base* base_;
   SearchClientLimits limits_;
-  AttemptEnded ended_;
-  std::function<void()> turn_;
-  std::size_t open_ = 0;
-  std::map<EndpointId, std::unique_ptr<Node>> nodes_;
-  std::map<dispatch::Attempt*, std::unique_ptr<Way>> ways_;
-  std::vector<Node*> touched_;
-  std::vector<std::unique_ptr<Link>> dropped_;  // freed outside the library's callbacks
-  Timer sweep_;
+  AttemptEnded on_attempt_ended_;
+  std::function<void()> run_actions_;
+  std::size_t open_connections_ = 0;
+  std::map<EndpointId, std::unique_ptr<EndpointPool>> pools_;
+  std::map<dispatch::Attempt*, std::unique_ptr<InFlightAttempt>> in_flight_;
+  std::vector<EndpointPool*> pools_to_flush_;
+  std::vector<std::unique_ptr<Connection>> closed_connections_;  // to be freed by the cleanup timer
+  Timer cleanup_timer_;
 };
 
-// Nodes of either kind behind one door: each send goes where its node's kind is served.
+// Passes each call to the backend that speaks the endpoint's protocol.
 class MultiProtocolBackend : public dispatch::Backend {
  public:
-  MultiProtocolBackend(dispatch::Backend& frames, dispatch::Backend& search)
-      : frames_(frames), search_(search) {}
-  // Nodes of this flavor in the list speak the API.
+  MultiProtocolBackend(dispatch::Backend& framed, dispatch::Backend& search)
+      : framed_(framed), search_(search) {}
+  // Sets the flavor by which the endpoint list marks endpoints that speak the search API; empty for none.
   void set_search_flavor(std::string flavor) { flavor_ = std::move(flavor); }
-  bool is_search(const std::string& flavor) const { return !flavor_.empty() && flavor == flavor_; }
+  bool is_search_flavor(const std::string& flavor) const { return !flavor_.empty() && flavor == flavor_; }
   void set_endpoint_flavor(EndpointId id, const std::string& flavor) {
-    kinds_[id] = is_search(flavor) ? &search_ : &frames_;
+    backends_[id] = is_search_flavor(flavor) ? &search_ : &framed_;
   }
 
   void update_endpoint(EndpointId id, const std::string& name, const Address& address,
                        EndpointState state) override {
-    of(id).update_endpoint(id, name, address, state);
+    backend_of(id).update_endpoint(id, name, address, state);
   }
-  void forget_endpoint(EndpointId id) override { of(id).forget_endpoint(id), kinds_.erase(id); }
-  void send(dispatch::Attempt& attempt, EndpointId to) override { of(to).send(attempt, to); }
-  void cancel(dispatch::Attempt& attempt) override { of(attempt.endpoint).cancel(attempt); }
+  void forget_endpoint(EndpointId id) override {
+    backend_of(id).forget_endpoint(id);
+    backends_.erase(id);
+  }
+  void send(dispatch::Attempt& attempt, EndpointId to) override { backend_of(to).send(attempt, to); }
+  void cancel(dispatch::Attempt& attempt) override { backend_of(attempt.endpoint).cancel(attempt); }
   void cancel_unwritten(dispatch::Attempt& attempt) override {
-    of(attempt.endpoint).cancel_unwritten(attempt);
+    backend_of(attempt.endpoint).cancel_unwritten(attempt);
+  }
+  void flush() override {
+    framed_.flush();
+    search_.flush();
   }
-  void flush() override { frames_.flush(), search_.flush(); }
-  void set_before_write(std::function<void()> look) override {
-    frames_.set_before_write(look), search_.set_before_write(std::move(look));
+  void set_before_write(std::function<void()> before_write) override {
+    framed_.set_before_write(before_write);
+    search_.set_before_write(std::move(before_write));
   }
-  void close_idle_connections(EndpointId id) override { of(id).close_idle_connections(id); }
-  void set_byte_counter(ByteCounter count) override {
-    frames_.set_byte_counter(count), search_.set_byte_counter(std::move(count));
+  void close_idle_connections(EndpointId id) override { backend_of(id).close_idle_connections(id); }
+  void set_byte_counter(ByteCounter counter) override {
+    framed_.set_byte_counter(counter);
+    search_.set_byte_counter(std::move(counter));
   }
 
  private:
-  dispatch::Backend& of(EndpointId id) {
-    const auto it = kinds_.find(id);
-    return it == kinds_.end() ? frames_ : *it->second;
+  dispatch::Backend& backend_of(EndpointId id) {
+    const auto it = backends_.find(id);
+    return it == backends_.end() ? framed_ : *it->second;
   }
-  dispatch::Backend &frames_, &search_;
+  dispatch::Backend &framed_, &search_;
   std::string flavor_;
-  std::map<EndpointId, dispatch::Backend*> kinds_;
+  std::map<EndpointId, dispatch::Backend*> backends_;
 };
 
 }  // namespace cairnhub::backend
