--- a/src/backend/framed/frame_codec.h
+++ b/src/backend/framed/frame_codec.h
@@ -11,7 +11,7 @@
 namespace cairnhub::backend::framed {
 
 constexpr std::size_t kLengthBytes = 4;
-// The longest frame accepted from an endpoint: the longest body sent to a client, and its header line.
+// A longer frame from an endpoint is invalid: no body sent to a client is longer.
 constexpr std::size_t kMaxFrameBytes = 65536 + 1024;
 
 // Builds the frame of a batch, whose shard requests the endpoint runs together.
@@ -32,7 +32,7 @@
 // Decodes a frame's length from its first kLengthBytes bytes.
 std::uint32_t decode_length(const unsigned char* bytes);
 
-// An endpoint's result for one shard request. Its views point into the parsed frame.
+// An endpoint's result for one shard request. The views point into the parsed frame.
 struct ShardResult {
   enum class Status { kReturned, kError, kQueueFull };
   Status status;
--- a/src/backend/framed/framed_client.cpp
+++ b/src/backend/framed/framed_client.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-// Batches are buffered for writing only while fewer bytes than this are: the others can still be withdrawn.
+// No further batch is buffered for writing while this many bytes are unwritten, so that it can be withdrawn.
 constexpr std::size_t kMaxBufferedBytes = 16384;
 // A connection that left attempts unanswered for longer than this fraction of the connect timeout gets no new
 // ones: a new connection would be established sooner.
@@ -367,7 +367,7 @@
   }
 }
 
-// Counts the bytes, and remembers them: those that are never written are subtracted again.
+// Counts the bytes now, and remembers them: close_connection() subtracts those that were never written.
 void FramedClient::count_buffered_bytes(Connection& connection, const dispatch::Attempt& attempt,
                                         std::size_t bytes) {
   if (!byte_counter_) return;
