--- a/src/cli/accord.cpp
+++ b/src/cli/accord.cpp
@@ -185,11 +185,11 @@
 }
 
 // The fleet's options with the folder to work on, the broker being stopped.
-std::unique_ptr<shared_config::Kept> folder_of(const options::Options& o, std::uint64_t id) {
+std::unique_ptr<shared_config::SqliteStore> folder_of(const options::Options& o, std::uint64_t id) {
   if (!o.fleet || !o.fleet->accord || o.fleet->accord->folder.empty())
     throw std::runtime_error(o.file + ": states no accord with a folder");
   std::string aside;
-  auto store = shared_config::Kept::open(o.fleet->accord->folder, id, &aside);
+  auto store = shared_config::SqliteStore::open(o.fleet->accord->folder, id, &aside);
   if (!aside.empty())
     std::fprintf(stderr, "cairnhub: the store was damaged and is set aside as %s\n", aside.c_str());
   return store;
@@ -201,12 +201,12 @@
   const auto& voters = o.fleet->accord->voters;
   if (std::find(voters.begin(), voters.end(), o.fleet->name) == voters.end())
     return complain(kRefused, o.fleet->name + " is not among the voters stated");
-  if (shared_config::Kept::there(o.fleet->accord->folder))
+  if (shared_config::SqliteStore::exists(o.fleet->accord->folder))
     return complain(kRefused, o.fleet->accord->folder + " holds a store already; nothing is changed");
-  const auto store = folder_of(o, shared_config::first_voter_id(o.fleet->name));
-  std::vector<shared_config::Voter> first;
-  for (const auto& v : voters) first.push_back({shared_config::first_voter_id(v), v, true});
-  if (!shared_config::Engine::bootstrap(*store, first))
+  const auto store = folder_of(o, shared_config::initial_voter_id(o.fleet->name));
+  std::vector<shared_config::RaftMember> first;
+  for (const auto& v : voters) first.push_back({shared_config::initial_voter_id(v), v, true});
+  if (!shared_config::RaftNode::bootstrap(*store, first))
     return complain(kRefused, "the store can't be written");
   std::printf("%s is a voter of %zu; init the others with the same voters, once each, then start them\n",
               o.fleet->name.c_str(), voters.size());
@@ -221,8 +221,8 @@
         "must be run at one voter only, with all others stopped for good; add --a-majority-is-lost");
   const auto o = options::read(s.options);
   const auto store = folder_of(o, 1);
-  if (store->loaded().term == 0) return complain(kRefused, "this store holds no log");
-  if (!shared_config::Engine::force_voters(*store, {{store->loaded().voter_id, o.fleet->name, true}}))
+  if (store->loaded_state().term == 0) return complain(kRefused, "this store holds no log");
+  if (!shared_config::RaftNode::force_voters(*store, {{store->loaded_state().voter_id, o.fleet->name, true}}))
     return complain(kRefused, "the store can't be written");
   std::printf("%s is the only voter now; the others begin with empty folders and are taken in one by one\n",
               o.fleet->name.c_str());
--- a/src/cluster/admin_api.cpp
+++ b/src/cluster/admin_api.cpp
@@ -121,7 +121,7 @@
 std::string Operators::status() const {
   const auto s = fleet_.accord()->status(now());
   json voters = json::array();
-  for (const auto& v : s.voters) voters.push_back({{"name", v.name}, {"votes", v.votes}});
+  for (const auto& v : s.voters) voters.push_back({{"name", v.name}, {"votes", v.is_voter}});
   return text(
       {{"name", fleet_.options().name},
        {"acts_on", s.acting.low ? json{{"low", s.acting.low}, {"high", s.acting.high}} : json("ground")},
--- a/src/cluster/cluster_node.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -46,9 +46,9 @@
   t.replace_after = o.replace_after;
   // Elections take a small share of the stated time; under it the first commits after one fit as well.
   const Time ms = kSecond / 1000;
-  t.engine.election = std::clamp<Time>(o.stated / 8, 60 * ms, 300 * ms);
-  t.engine.heartbeat = t.engine.election / 5;
-  t.engine.tick = std::max<Time>(5 * ms, t.engine.election / 15);
+  t.engine.election_timeout = std::clamp<Time>(o.stated / 8, 60 * ms, 300 * ms);
+  t.engine.heartbeat_interval = t.engine.election_timeout / 5;
+  t.engine.tick_interval = std::max<Time>(5 * ms, t.engine.election_timeout / 15);
   return t;
 }
 
@@ -105,7 +105,7 @@
       std::string aside;
       std::uint64_t id;
       randombytes_buf(&id, sizeof id);
-      store_ = shared_config::Kept::open(o.accord->folder, id >> 1 | 1, &aside);
+      store_ = shared_config::SqliteStore::open(o.accord->folder, id >> 1 | 1, &aside);
       if (!aside.empty()) {
         log("accord", "the store was damaged and is set aside as %s; this broker joins anew", aside.c_str());
         if (event_log_) event_log_->record_event("set_aside").with("as", aside);
@@ -116,7 +116,7 @@
                                                       std::make_shared<maintenance::JobQueue>());
     std::string text;
     std::uint64_t number = 0;
-    if (store_ && store_->ground(text, number)) {
+    if (store_ && store_->baseline(text, number)) {
       shared_config::Version kept;
       kept.number = kept_ground_ = number, kept.text = text, kept.hash = shared_config::hash_of(text);
       kept.rules =
@@ -352,7 +352,7 @@
   if (ground.number == kept_ground_ && next == kept_next_) return;
   const bool newer = ground.number > kept_ground_ && !next;
   kept_ground_ = std::max(kept_ground_, ground.number), kept_next_ = next;
-  if (store_) store_->keep_ground(shared_config::text_of(holder.grounded()), ground.number);
+  if (store_) store_->save_baseline(shared_config::text_of(holder.grounded()), ground.number);
   if (newer && event_log_) event_log_->record_event("keeps").with("ground", ground.number);
 }
 
@@ -412,7 +412,7 @@
   const std::string bytes = kZones + zone_failover::encode(*report);
   for (const auto& name : to) send_to(name, bytes);
   const auto* engine = accord_->engine();
-  if (!engine || !engine->leads()) return zones_->stop_leading();
+  if (!engine || !engine->is_leader()) return zones_->stop_leading();
   if (auto e = zones_->propose_change(at, engine->versions())) {
     log("zones", "%s", e->why.c_str());
     if (event_log_)
--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -108,7 +108,7 @@
   std::unique_ptr<EventLog> event_log_;
   membership::SwimMembership peers_;
   shared_config::Hearsay hearsay_;
-  std::unique_ptr<shared_config::Kept> store_;
+  std::unique_ptr<shared_config::SqliteStore> store_;
   std::unique_ptr<shared_config::Accord> accord_;
   transport::Transport transport_;
   Timer wake_;
--- a/src/cluster/maintenance_agent.cpp
+++ b/src/cluster/maintenance_agent.cpp
@@ -75,7 +75,7 @@
       it->second.capacity_per_second = e.health.capacity_per_second;
     }
   }
-  f.voters = accord_.engine()->voting();
+  f.voters = accord_.engine()->voter_names();
   return f;
 }
 
@@ -89,7 +89,7 @@
     m.open_attempts.emplace();
     m.open_attempts->lease_low_version = acted.low;
     for (const auto& node : acted.rules->at_work) m.open_attempts->by_endpoint[node] = program.clear(node);
-    if (accord_.leader() == options_.name || (accord_.engine() && accord_.engine()->leads()))
+    if (accord_.leader() == options_.name || (accord_.engine() && accord_.engine()->is_leader()))
       conduct_.record_report(now, options_.name, std::move(*m.open_attempts));
     else if (!accord_.leader().empty())
       send_(accord_.leader(), encode_message(m));
@@ -98,12 +98,12 @@
   const auto* works = book();
   if (!engine || !works) return;
   accord_.retire(conduct_.retiring_brokers(*works));
-  if (!engine->leads()) return conduct_.stop_leading();
+  if (!engine->is_leader()) return conduct_.stop_leading();
   if (revision == 0) return;  // it has no list yet, and sees nothing
   maintenance::LeaderView seen;
   seen.fleet_status = see(now, listed, revision);
   seen.leases = accord_.leases().held();
-  seen.voters = engine->voting();
+  seen.voters = engine->voter_names();
   for (const auto* member : peers_.members().live()) seen.live_brokers.insert(member->update.name);
   auto e = conduct_.next_entry(now, wall_now(), engine->versions(), seen);
   for (const auto& broker : conduct_.brokers_to_stop()) {
--- a/src/shared_config/log_codec.cpp
+++ b/src/shared_config/log_codec.cpp
@@ -2,7 +2,7 @@
 
 namespace cairnhub::shared_config {
 
-void put(const Version& v, accord::wire::Version& into) {
+void to_proto(const Version& v, accord::wire::Version& into) {
   into.set_number(v.number);
   into.set_rules(v.text);
   into.set_hash(v.hash);
@@ -12,7 +12,7 @@
   if (!v.note.empty()) into.set_note(v.note);
 }
 
-std::optional<Version> take(const accord::wire::Version& v) {
+std::optional<Version> from_proto(const accord::wire::Version& v) {
   if (v.number() == 0 || v.rules().size() > kRulesTextMost || hash_of(v.rules()) != v.hash())
     return std::nullopt;
   Version out;
--- a/src/shared_config/log_codec.h
+++ b/src/shared_config/log_codec.h
@@ -7,8 +7,8 @@
 
 namespace cairnhub::shared_config {
 
-void put(const Version& v, accord::wire::Version& into);
+void to_proto(const Version& v, accord::wire::Version& into);
 // None where its text can't be used or is not what its hash says.
-std::optional<Version> take(const accord::wire::Version& v);
+std::optional<Version> from_proto(const accord::wire::Version& v);
 
 }  // namespace cairnhub::shared_config
--- a/src/shared_config/raft_node.cpp
+++ b/src/shared_config/raft_node.cpp
@@ -61,14 +61,14 @@
 
 }  // namespace
 
-std::uint64_t first_voter_id(const std::string& name) {
+std::uint64_t initial_voter_id(const std::string& name) {
   return XXH3_64bits_withSeed(name.data(), name.size(), 1) >> 1 | 1;
 }
 
-struct Engine::Impl {
-  EngineTerms terms;
+struct RaftNode::Impl {
+  RaftSettings terms;
   std::string name;
-  Store& store;
+  DurableStore& store;
   Chance chance;
   Applied applied;
   Versions versions;
@@ -105,7 +105,7 @@
     std::uint64_t term;
   };
 
-  Impl(const EngineTerms& t, const std::string& n, Store& s, std::uint64_t seed, Applied a,
+  Impl(const RaftSettings& t, const std::string& n, DurableStore& s, std::uint64_t seed, Applied a,
        std::shared_ptr<const Board> board)
       : terms(t), name(n), store(s), chance(seed), applied(std::move(a)), versions(std::move(board)) {}
 
@@ -158,7 +158,7 @@
       const std::uint64_t from = trailing == 0         ? s->index + 1
                                  : s->index > trailing ? s->index - trailing + 1
                                                        : 1;
-      const bool good = !me.failed && me.store.put(keep, from);
+      const bool good = !me.failed && me.store.save_snapshot(keep, from);
       if (!good) me.fail();
       if (trailing == 0) me.next_index = s->index + 1;
       me.ends.push_back([req, cb, good] { cb(req, good ? 0 : RAFT_IOERR); });
@@ -219,14 +219,14 @@
 
   int load(raft_term* term, raft_id* vote, raft_snapshot** snapshot, raft_index* start, raft_entry** entries,
            std::size_t* n) {
-    const Stored& had = store.loaded();
+    const PersistedState& had = store.loaded_state();
     *term = had.term, *vote = had.vote;
     *snapshot = nullptr;
     if (had.snapshot && !(*snapshot = made(had.snapshot))) return RAFT_CORRUPT;
-    *start = had.first;
+    *start = had.first_index;
     *n = had.entries.size();
     *entries = nullptr;
-    next_index = had.first + had.entries.size();
+    next_index = had.first_index + had.entries.size();
     if (*n == 0) return 0;
     *entries = static_cast<raft_entry*>(raft_calloc(*n, sizeof(raft_entry)));
     for (std::size_t k = 0; k < *n; ++k) {
@@ -402,24 +402,24 @@
   }
 };
 
-Engine::Engine(const EngineTerms& terms, const std::string& name, Store& store, std::uint64_t seed,
-               Applied applied, std::shared_ptr<const Board> board)
+RaftNode::RaftNode(const RaftSettings& terms, const std::string& name, DurableStore& store,
+                   std::uint64_t seed, Applied applied, std::shared_ptr<const Board> board)
     : impl_(std::make_unique<Impl>(terms, name, store, seed, std::move(applied), std::move(board))) {
   Impl& m = *impl_;
   m.set_up();
-  if (raft_init(&m.r, &m.io, &m.fsm, store.loaded().voter_id,
-                address_of(name, store.loaded().voter_id).c_str()) != 0) {
+  if (raft_init(&m.r, &m.io, &m.fsm, store.loaded_state().voter_id,
+                address_of(name, store.loaded_state().voter_id).c_str()) != 0) {
     m.failed = m.closed = true;
     return;
   }
-  raft_set_election_timeout(&m.r, static_cast<unsigned>(terms.election / kMs));
-  raft_set_heartbeat_timeout(&m.r, static_cast<unsigned>(terms.heartbeat / kMs));
-  raft_set_snapshot_threshold(&m.r, terms.snapshot_after);
-  raft_set_snapshot_trailing(&m.r, terms.snapshot_keeps);
+  raft_set_election_timeout(&m.r, static_cast<unsigned>(terms.election_timeout / kMs));
+  raft_set_heartbeat_timeout(&m.r, static_cast<unsigned>(terms.heartbeat_interval / kMs));
+  raft_set_snapshot_threshold(&m.r, terms.snapshot_threshold);
+  raft_set_snapshot_trailing(&m.r, terms.snapshot_trailing);
   raft_set_pre_vote(&m.r, true);
 }
 
-Engine::~Engine() {
+RaftNode::~RaftNode() {
   Impl& m = *impl_;
   if (m.closed) return;
   m.closed = true;
@@ -428,7 +428,7 @@
   m.settle();
 }
 
-bool Engine::start(Time now) {
+bool RaftNode::start(Time now) {
   Impl& m = *impl_;
   if (m.failed) return false;
   m.now = now;
@@ -438,7 +438,7 @@
   return !m.failed;
 }
 
-void Engine::tick(Time now) {
+void RaftNode::tick(Time now) {
   Impl& m = *impl_;
   if (!m.started || m.failed) return;
   m.now = now;
@@ -446,7 +446,7 @@
   m.settle();
 }
 
-void Engine::received(Time now, const std::string& from, const accord::wire::Raft& w) {
+void RaftNode::handle_message(Time now, const std::string& from, const accord::wire::Raft& w) {
   Impl& m = *impl_;
   if (!m.started || m.failed) return;
   m.now = now;
@@ -456,7 +456,7 @@
   m.settle();
 }
 
-std::optional<Engine::Outgoing> Engine::send() {
+std::optional<RaftNode::Outgoing> RaftNode::take_message() {
   Impl& m = *impl_;
   if (m.out.empty()) return std::nullopt;
   auto o = std::move(m.out.front());
@@ -464,15 +464,15 @@
   return o;
 }
 
-void Engine::turn(Time now) {
+void RaftNode::run_callbacks(Time now) {
   impl_->now = now;
   impl_->settle();
 }
 
-bool Engine::propose(Time now, const Entry& entry, Done done) {
+bool RaftNode::propose(Time now, const Entry& entry, Done done) {
   Impl& m = *impl_;
   m.now = now;
-  if (!leads()) return false;
+  if (!is_leader()) return false;
   auto* a = new Impl::Apply{{}, std::move(done)};
   a->request.data = a;
   const raft_buffer b = buffer_of(encode(entry));
@@ -493,10 +493,10 @@
   return true;
 }
 
-bool Engine::add_voter(Time now, std::uint64_t id, const std::string& name) {
+bool RaftNode::add_voter(Time now, std::uint64_t id, const std::string& name) {
   Impl& m = *impl_;
   m.now = now;
-  if (!leads() || m.change_out) return false;
+  if (!is_leader() || m.change_out) return false;
   auto* c = new Impl::Change{{}, &m};
   const raft_configuration& conf = m.r.configuration;
   bool spare = false;
@@ -515,10 +515,10 @@
   return true;
 }
 
-bool Engine::remove_voter(Time now, std::uint64_t id) {
+bool RaftNode::remove_voter(Time now, std::uint64_t id) {
   Impl& m = *impl_;
   m.now = now;
-  if (!leads() || m.change_out) return false;
+  if (!is_leader() || m.change_out) return false;
   auto* c = new Impl::Change{{}, &m};
   c->request.data = c;
   const int status = raft_remove(&m.r, &c->request, id, [](struct raft_change* req, int) {
@@ -531,9 +531,9 @@
   return true;
 }
 
-bool Engine::changing() const { return impl_->change_out; }
+bool RaftNode::has_change_in_progress() const { return impl_->change_out; }
 
-bool Engine::hand_over(Time now) {
+bool RaftNode::transfer_leadership(Time now) {
   Impl& m = *impl_;
   m.now = now;
   if (!m.started || m.failed || raft_state(&m.r) != RAFT_LEADER || m.r.transfer) return false;
@@ -544,45 +544,45 @@
   return true;
 }
 
-bool Engine::broken() const { return impl_->failed; }
-bool Engine::leads() const {
+bool RaftNode::has_failed() const { return impl_->failed; }
+bool RaftNode::is_leader() const {
   Impl& m = *impl_;
   return m.started && !m.failed && raft_state(&m.r) == RAFT_LEADER && m.lead_term == m.r.current_term;
 }
-std::uint64_t Engine::term() const { return impl_->r.current_term; }
-std::string Engine::leader() const {
+std::uint64_t RaftNode::term() const { return impl_->r.current_term; }
+std::string RaftNode::leader() const {
   raft_id id = 0;
   const char* address = nullptr;
   if (impl_->started && !impl_->failed) raft_leader(&impl_->r, &id, &address);
   return name_in(address);
 }
-std::uint64_t Engine::id() const { return impl_->r.id; }
-std::vector<Voter> Engine::voters() const {
-  std::vector<Voter> all;
+std::uint64_t RaftNode::id() const { return impl_->r.id; }
+std::vector<RaftMember> RaftNode::members() const {
+  std::vector<RaftMember> all;
   const raft_configuration& c = impl_->r.configuration;
   for (unsigned k = 0; k < c.n; ++k)
     all.push_back({c.servers[k].id, name_in(c.servers[k].address), c.servers[k].role == RAFT_VOTER});
   return all;
 }
-std::set<std::string> Engine::voting() const {
+std::set<std::string> RaftNode::voter_names() const {
   std::set<std::string> names;
-  for (const Voter& v : voters())
-    if (v.votes) names.insert(v.name);
+  for (const RaftMember& v : members())
+    if (v.is_voter) names.insert(v.name);
   return names;
 }
-const Versions& Engine::versions() const { return impl_->versions; }
-std::uint64_t Engine::applied_index() const { return impl_->r.last_applied; }
+const Versions& RaftNode::versions() const { return impl_->versions; }
+std::uint64_t RaftNode::applied_index() const { return impl_->r.last_applied; }
 
 namespace {
 
-std::string configuration_of(const std::vector<Voter>& voters) {
+std::string configuration_of(const std::vector<RaftMember>& voters) {
   raft_configuration c;
   raft_configuration_init(&c);
   std::string bytes;
   bool good = true;
-  for (const Voter& v : voters)
+  for (const RaftMember& v : voters)
     good = good && raft_configuration_add(&c, v.id, address_of(v.name, v.id).c_str(),
-                                          v.votes ? RAFT_VOTER : RAFT_SPARE) == 0;
+                                          v.is_voter ? RAFT_VOTER : RAFT_SPARE) == 0;
   raft_buffer b{};
   if (good && raft_configuration_encode(&c, &b) == 0) {
     bytes = bytes_of(b);
@@ -594,17 +594,17 @@
 
 }  // namespace
 
-bool Engine::bootstrap(Store& store, const std::vector<Voter>& voters) {
+bool RaftNode::bootstrap(DurableStore& store, const std::vector<RaftMember>& voters) {
   const std::string bytes = configuration_of(voters);
-  return !bytes.empty() && store.loaded().entries.empty() && store.loaded().term == 0 && store.set_term(1) &&
-         store.append(1, {{1, RAFT_CHANGE, bytes}});
+  return !bytes.empty() && store.loaded_state().entries.empty() && store.loaded_state().term == 0 &&
+         store.set_term(1) && store.append(1, {{1, RAFT_CHANGE, bytes}});
 }
 
-bool Engine::force_voters(Store& store, const std::vector<Voter>& voters) {
+bool RaftNode::force_voters(DurableStore& store, const std::vector<RaftMember>& voters) {
   const std::string bytes = configuration_of(voters);
-  const Stored& had = store.loaded();
+  const PersistedState& had = store.loaded_state();
   return !bytes.empty() && had.term > 0 &&
-         store.append(had.first + had.entries.size(), {{had.term, RAFT_CHANGE, bytes}});
+         store.append(had.first_index + had.entries.size(), {{had.term, RAFT_CHANGE, bytes}});
 }
 
 }  // namespace cairnhub::shared_config
--- a/src/shared_config/raft_node.h
+++ b/src/shared_config/raft_node.h
@@ -23,67 +23,68 @@
 
 namespace cairnhub::shared_config {
 
-struct EngineTerms {
-  Time election = 300 * kSecond / 1000;  // without a leader for this to twice this, one asks for votes
-  Time heartbeat = 60 * kSecond / 1000;
-  Time tick = 20 * kSecond / 1000;
-  unsigned snapshot_after = 512;  // entries
-  unsigned snapshot_keeps = 64;
+struct RaftSettings {
+  Time election_timeout =
+      300 * kSecond / 1000;  // without a leader for this to twice this, one asks for votes
+  Time heartbeat_interval = 60 * kSecond / 1000;
+  Time tick_interval = 20 * kSecond / 1000;
+  unsigned snapshot_threshold = 512;  // entries
+  unsigned snapshot_trailing = 64;
 };
 
-struct Voter {
+struct RaftMember {
   std::uint64_t id = 0;
   std::string name;
-  bool votes = true;
+  bool is_voter = true;
 };
 
 // Of a broker whose store was made by `accord init`; every other store draws its own.
-std::uint64_t first_voter_id(const std::string& name);
+std::uint64_t initial_voter_id(const std::string& name);
 
-class Engine {
+class RaftNode {
  public:
   // `applied` is told each entry, as it is applied, with what it led to.
   using Applied = std::function<void(const Entry&, const Verdict&)>;
-  Engine(const EngineTerms& terms, const std::string& name, Store& store, std::uint64_t seed, Applied applied,
-         std::shared_ptr<const Board> board = nullptr);
-  ~Engine();
-  Engine(const Engine&) = delete;
-  Engine& operator=(const Engine&) = delete;
+  RaftNode(const RaftSettings& terms, const std::string& name, DurableStore& store, std::uint64_t seed,
+           Applied applied, std::shared_ptr<const Board> board = nullptr);
+  ~RaftNode();
+  RaftNode(const RaftNode&) = delete;
+  RaftNode& operator=(const RaftNode&) = delete;
 
   bool start(Time now);  // false: broken
   void tick(Time now);   // every terms.tick
-  void received(Time now, const std::string& from, const accord::wire::Raft& message);
+  void handle_message(Time now, const std::string& from, const accord::wire::Raft& message);
   struct Outgoing {
     std::string to;
     std::string bytes;
   };
-  std::optional<Outgoing> send();
+  std::optional<Outgoing> take_message();
   // Ends of sends and appends are told to the library here, outside its own calls: after each of the above.
-  void turn(Time now);
+  void run_callbacks(Time now);
 
   // `done`: the verdict, or none where the entry may or may not come in.
   using Done = std::function<void(const std::optional<Verdict>&)>;
   bool propose(Time now, const Entry& entry, Done done);  // false: does not lead
   bool add_voter(Time now, std::uint64_t id, const std::string& name);
   bool remove_voter(Time now, std::uint64_t id);
-  bool changing() const;     // a change of voters is under way
-  bool hand_over(Time now);  // leadership, to any voter
+  bool has_change_in_progress() const;  // a change of voters is under way
+  bool transfer_leadership(Time now);   // leadership, to any voter
 
-  bool broken() const;
-  bool leads() const;  // and has applied all that was committed before its term
+  bool has_failed() const;
+  bool is_leader() const;  // and has applied all that was committed before its term
   std::uint64_t term() const;
   std::string leader() const;  // empty: not known
   std::uint64_t id() const;
-  std::vector<Voter> voters() const;
-  std::set<std::string> voting() const;  // their names
+  std::vector<RaftMember> members() const;
+  std::set<std::string> voter_names() const;  // their names
   const Versions& versions() const;
   std::uint64_t applied_index() const;
 
   // For a new store: the log's first entry names the voters.
-  static bool bootstrap(Store& store, const std::vector<Voter>& voters);
+  static bool bootstrap(DurableStore& store, const std::vector<RaftMember>& voters);
   // Where a majority is gone for good: from now on these vote, whatever the log says. An operator's last
   // resort.
-  static bool force_voters(Store& store, const std::vector<Voter>& voters);
+  static bool force_voters(DurableStore& store, const std::vector<RaftMember>& voters);
 
  private:
   struct Impl;
--- a/src/shared_config/shared_config_node.cpp
+++ b/src/shared_config/shared_config_node.cpp
@@ -15,15 +15,15 @@
 
 }  // namespace
 
-Accord::Accord(const Terms& terms, const std::string& self, Store* store, Rules ground, std::uint64_t seed,
-               std::shared_ptr<const Board> board)
+Accord::Accord(const Terms& terms, const std::string& self, DurableStore* store, Rules ground,
+               std::uint64_t seed, std::shared_ptr<const Board> board)
     : terms_(terms),
       self_(self),
       chance_(seed),
       holder_(terms.lease, std::move(ground), terms.life),
       leases_(terms.lease) {
   if (store)
-    engine_ = std::make_unique<Engine>(
+    engine_ = std::make_unique<RaftNode>(
         terms.engine, self, *store, seed + 1,
         [this](const Entry& e, const Verdict& v) {
           if (applied) applied(e, v);
@@ -53,7 +53,7 @@
 void Accord::woken(Time now) {
   if (!started_ || leaving_) return;
   if (engine_ && now >= next_tick_) {
-    next_tick_ = now + terms_.engine.tick;
+    next_tick_ = now + terms_.engine.tick_interval;
     engine_->tick(now);
   }
   if (now >= holder_.wake()) ask(now);
@@ -81,9 +81,9 @@
 
 void Accord::ask(Time now) {
   Ask a = holder_.ask(now);
-  a.may_vote = engine_ && !engine_->broken();
+  a.may_vote = engine_ && !engine_->has_failed();
   a.voter_id = a.may_vote ? engine_->id() : 0;
-  if (engine_ && engine_->leads()) return asked(now, self_, a);
+  if (engine_ && engine_->is_leader()) return asked(now, self_, a);
   if (engine_ && !engine_->leader().empty() && engine_->leader() != self_) leader_ = engine_->leader();
   if (leader_ == self_ || ++unanswered_ > kGiveUpLeader) leader_.clear();
   const std::string to = leader_.empty() ? somewhere() : leader_;
@@ -116,7 +116,7 @@
   accord::wire::Packet p;
   p.mutable_confirm()->set_term(engine_->term());
   p.mutable_confirm()->set_round(*round);
-  for (const auto& name : engine_->voting())
+  for (const auto& name : engine_->voter_names())
     if (name != self_) post(name, p);
   leases_.confirmed(now, self_, engine_->term(), *round, engine_->versions());
 }
@@ -130,17 +130,17 @@
   accord::wire::Packet p;
   auto& w = *p.mutable_grant();
   w.set_sequence(g.sequence), w.set_low(g.low), w.set_high(g.high), w.set_term(g.term);
-  for (const Version& v : g.versions) put(v, *w.add_version());
-  if (g.ground) put(*g.ground, *w.mutable_ground());
-  if (g.ground_next) put(*g.ground_next, *w.mutable_ground_next());
+  for (const Version& v : g.versions) to_proto(v, *w.add_version());
+  if (g.ground) to_proto(*g.ground, *w.mutable_ground());
+  if (g.ground_next) to_proto(*g.ground_next, *w.mutable_ground_next());
   post(to, p);
 }
 
 void Accord::received(Time now, const std::string& from, const accord::wire::Packet& p) {
   if (!started_ || leaving_) return;
-  if (p.has_raft() && engine_) engine_->received(now, from, p.raft());
+  if (p.has_raft() && engine_) engine_->handle_message(now, from, p.raft());
   if (p.has_ask()) {
-    if (engine_ && engine_->leads()) {
+    if (engine_ && engine_->is_leader()) {
       asked(now, from,
             {p.ask().sequence(), p.ask().taken(), p.ask().have(), p.ask().ground(), p.ask().settled(),
              p.ask().may_vote(), p.ask().bye(), p.ask().voter_id()});
@@ -168,16 +168,16 @@
       g.sequence = w.sequence(), g.low = w.low(), g.high = w.high(), g.term = w.term();
       bool good = w.high() >= w.low() && w.high() - w.low() <= Versions::kWaiting;
       for (const auto& v : w.version()) {
-        auto got = take(v);
+        auto got = from_proto(v);
         good = good && got;
         if (got) g.versions.push_back(std::move(*got));
       }
-      if (w.has_ground()) good = good && (g.ground = take(w.ground()));
-      if (w.has_ground_next()) good = good && (g.ground_next = take(w.ground_next()));
+      if (w.has_ground()) good = good && (g.ground = from_proto(w.ground()));
+      if (w.has_ground_next()) good = good && (g.ground_next = from_proto(w.ground_next()));
       if (good && holder_.answered(now, g)) leader_ = from, unanswered_ = 0, ever_answered_ = true;
     }
   }
-  if (p.has_confirm() && engine_ && !engine_->broken()) {
+  if (p.has_confirm() && engine_ && !engine_->has_failed()) {
     if (p.confirm().back()) {
       leases_.confirmed(now, from, p.confirm().term(), p.confirm().round(), engine_->versions());
     } else if (engine_->term() == p.confirm().term()) {
@@ -188,7 +188,7 @@
   }
   if (p.has_proposal()) {
     const auto e = decode_entry(p.proposal().entry());
-    if (e && engine_ && engine_->leads()) {
+    if (e && engine_ && engine_->is_leader()) {
       engine_->propose(now, *e, [this, from, id = e->id](const std::optional<Verdict>& v) {
         if (!v) return;  // it may or may not come in: the asker says it again
         accord::wire::Packet back;
@@ -232,7 +232,7 @@
     }
     if (now < p.again) continue;
     p.again = now + terms_.lease.ask_again();
-    if (engine_ && engine_->leads()) {
+    if (engine_ && engine_->is_leader()) {
       const std::string id = p.entry.id;
       const Entry entry = p.entry;  // the record may move while it is proposed
       engine_->propose(now, entry, [this, id](const std::optional<Verdict>& v) {
@@ -252,7 +252,7 @@
 
 // What the leader owes: to begin, to force what may be forced, to tell that there is news.
 void Accord::lead(Time now) {
-  const bool leads = engine_ && engine_->leads();
+  const bool leads = engine_ && engine_->is_leader();
   if (!leads) {
     if (led_) leases_.leads_no_more(), led_ = false, enlist_out_.clear(), force_out_ = ground_out_ = false;
     return;
@@ -261,10 +261,10 @@
     led_ = true, led_term_ = engine_->term();
     enlist_out_.clear(), force_out_ = ground_out_ = false;
     told_newest_ = engine_->versions().newest();
-    leases_.leads(now, led_term_, engine_->voting(), self_);
+    leases_.leads(now, led_term_, engine_->voter_names(), self_);
     holder_.ask_soon(now);
   }
-  leases_.voters(engine_->voting());
+  leases_.voters(engine_->voter_names());
   const Versions& book = engine_->versions();
   if (const auto n = leases_.may_force(now, book); n && !force_out_) {
     Entry e;
@@ -297,11 +297,11 @@
 // A voter that is lost gives way to another that may vote: one change at a time, the new one in first, so
 // that a majority of the old is never asked of fewer.
 void Accord::mend_voters(Time now) {
-  if (engine_->changing()) return;
-  const auto voters = engine_->voters();
+  if (engine_->has_change_in_progress()) return;
+  const auto voters = engine_->members();
   std::size_t voting = 0;
-  std::vector<const Voter*> lost;
-  for (const Voter& v : voters) {
+  std::vector<const RaftMember*> lost;
+  for (const RaftMember& v : voters) {
     if (v.name == self_ && v.id == engine_->id()) {
       ++voting;
       continue;
@@ -311,7 +311,7 @@
         held != leases_.held().end() && held->second.voter_id != 0 && held->second.voter_id != v.id;
     const auto dead = dead_since_.find(v.name);
     const bool gone = dead != dead_since_.end() && now - dead->second >= terms_.replace_after;
-    if (!v.votes) {  // a spare on its way in
+    if (!v.is_voter) {  // a spare on its way in
       if (other_store || gone)
         engine_->remove_voter(now, v.id);
       else
@@ -322,7 +322,7 @@
     if (other_store || gone || retiring_.count(v.name)) lost.push_back(&v);
   }
   if (retiring_.count(self_) && voting > 1) {
-    engine_->hand_over(now);
+    engine_->transfer_leadership(now);
     return;
   }
   if (lost.empty()) return;
@@ -334,7 +334,7 @@
   for (const auto& [name, held] : leases_.held()) {
     if (!held.may_vote || held.voter_id == 0 || !held.live(now) || retiring_.count(name)) continue;
     const auto id = held.voter_id;
-    if (std::any_of(voters.begin(), voters.end(), [id](const Voter& v) { return v.id == id; })) continue;
+    if (std::any_of(voters.begin(), voters.end(), [id](const RaftMember& v) { return v.id == id; })) continue;
     engine_->add_voter(now, id, name);
     return;
   }
@@ -346,11 +346,11 @@
     const auto before = out_.size();
     const auto answers_before = ever_answered_;
     if (engine_) {
-      engine_->turn(now);
+      engine_->run_callbacks(now);
       lead(now);
-      if (led_ && engine_->leads()) confirm_round(now);
+      if (led_ && engine_->is_leader()) confirm_round(now);
       for (auto& g : leases_.granted()) answer(now, g.to, g.grant);
-      while (auto o = engine_->send()) out_.push_back({o->to, std::move(o->bytes)});
+      while (auto o = engine_->take_message()) out_.push_back({o->to, std::move(o->bytes)});
     }
     if (!leaving_ && now >= holder_.wake()) ask(now);
     forward(now);
@@ -370,9 +370,9 @@
 
 void Accord::leave(Time now) {
   if (!started_ || leaving_) return;
-  if (engine_ && engine_->leads()) {
+  if (engine_ && engine_->is_leader()) {
     leases_.gone(self_);
-    engine_->hand_over(now);
+    engine_->transfer_leadership(now);
   } else if (!leader_.empty()) {
     accord::wire::Packet p;
     p.mutable_ask()->set_bye(true);
@@ -396,7 +396,7 @@
   Status s;
   s.acting = *holder_.acting(now);
   s.lease_left = std::max<Time>(0, holder_.until() - now);
-  s.leader = engine_ && engine_->leads()             ? self_
+  s.leader = engine_ && engine_->is_leader()         ? self_
              : engine_ && !engine_->leader().empty() ? engine_->leader()
                                                      : leader_;
   s.have = holder_.have();
@@ -404,11 +404,11 @@
   s.ground_next = holder_.ground_next() ? holder_.ground_next()->number : 0;
   if (engine_) {
     s.term = engine_->term();
-    s.leads = engine_->leads();
-    s.store_failed = engine_->broken();
+    s.leads = engine_->is_leader();
+    s.store_failed = engine_->has_failed();
     s.newest = engine_->versions().newest(), s.in_force = engine_->versions().in_force();
-    s.voters = engine_->voters();
-    for (const Voter& v : s.voters) s.votes = s.votes || (v.id == engine_->id() && v.votes);
+    s.voters = engine_->members();
+    for (const RaftMember& v : s.voters) s.votes = s.votes || (v.id == engine_->id() && v.is_voter);
     if (s.leads) {
       s.force_waits_for = leases_.waits_for(now, engine_->versions());
       s.ground_waits_for = leases_.ground_waits_for(engine_->versions());
--- a/src/shared_config/shared_config_node.h
+++ b/src/shared_config/shared_config_node.h
@@ -27,7 +27,7 @@
 
 struct Terms {
   LeaseTerms lease;
-  EngineTerms engine;
+  RaftSettings engine;
   std::vector<std::string> voters;     // as stated: where to ask first
   Time replace_after = 30 * kSecond;   // a voter lost for so long gives way to another
   Time propose_within = 10 * kSecond;  // an operator's proposal is given up then
@@ -42,7 +42,7 @@
   bool leads = false, votes = false, store_failed = false;
   // Of the log, where this broker's engine runs:
   std::uint64_t newest = 0, in_force = 0;
-  std::vector<Voter> voters;
+  std::vector<RaftMember> voters;
   std::vector<std::string> force_waits_for, ground_waits_for;  // at the leader
 };
 
@@ -50,7 +50,7 @@
  public:
   // `store` null: it learns and does not vote. `ground`: what it acts on as long as it knows no other.
   // `board`: the empty one, where the log carries one.
-  Accord(const Terms& terms, const std::string& self, Store* store, Rules ground, std::uint64_t seed,
+  Accord(const Terms& terms, const std::string& self, DurableStore* store, Rules ground, std::uint64_t seed,
          std::shared_ptr<const Board> board = nullptr);
   ~Accord();
 
@@ -85,7 +85,7 @@
   std::vector<Version> history() const;
   const Holder& holder() const { return holder_; }
   const std::string& leader() const { return leader_; }  // last heard of; empty: not known
-  const Engine* engine() const { return engine_.get(); }
+  const RaftNode* engine() const { return engine_.get(); }
   Status status(Time now) const;
   // Told each entry that the log applied here.
   std::function<void(const Entry&, const Verdict&)> applied;
@@ -112,7 +112,7 @@
   std::string self_;
   Chance chance_;
   Holder holder_;
-  std::unique_ptr<Engine> engine_;
+  std::unique_ptr<RaftNode> engine_;
   Leases leases_;
   std::string leader_;  // last heard of
   int unanswered_ = 0;  // askings since the leader last answered
--- a/src/shared_config/sqlite_store.cpp
+++ b/src/shared_config/sqlite_store.cpp
@@ -64,14 +64,14 @@
   int at_ = 0;
 };
 
-class Sqlite : public Kept {
+class Sqlite : public SqliteStore {
  public:
   explicit Sqlite(const std::string& file) {
     if (sqlite3_open_v2(file.c_str(), &db_, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, nullptr) !=
         SQLITE_OK) {
       const std::string why = db_ ? sqlite3_errmsg(db_) : "no memory";
       sqlite3_close(db_);
-      throw KeptError(file + ": " + why);
+      throw SqliteStoreError(file + ": " + why);
     }
   }
   ~Sqlite() override { sqlite3_close(db_); }
@@ -130,17 +130,18 @@
     Statement all(db_, "SELECT at, term, type, data, sum FROM log ORDER BY at");
     while (all.row()) {
       LogEntry e{all.number(1), static_cast<unsigned short>(all.number(2)), all.bytes(3)};
-      if (next == 0) now_.first = next = all.number(0);
+      if (next == 0) now_.first_index = next = all.number(0);
       if (all.number(0) != next || all.number(4) != sum_of(next, e)) return false;  // a gap, or a flipped bit
       now_.entries.push_back(std::move(e));
       ++next;
     }
-    if (now_.entries.empty() && now_.snapshot) now_.first = now_.snapshot->index + 1;
+    if (now_.entries.empty() && now_.snapshot) now_.first_index = now_.snapshot->index + 1;
     if (!all.good() || damaged) return false;
     // Danger: a page that is damaged so that records are missing, each of the others being sound.
-    for (std::size_t i = 0; i < now_.entries.size(); ++i) sums_ += sum_of(now_.first + i, now_.entries[i]);
-    next_ = now_.entries.empty() ? 0 : now_.first + now_.entries.size();
-    low_ = now_.entries.empty() ? 0 : now_.first;
+    for (std::size_t i = 0; i < now_.entries.size(); ++i)
+      sums_ += sum_of(now_.first_index + i, now_.entries[i]);
+    next_ = now_.entries.empty() ? 0 : now_.first_index + now_.entries.size();
+    low_ = now_.entries.empty() ? 0 : now_.first_index;
     term_ = now_.term, vote_ = now_.vote;
     snapshot_sum_ =
         now_.snapshot ? sum(now_.snapshot->configuration + now_.snapshot->data, now_.snapshot->index) : 0;
@@ -150,7 +151,7 @@
     return there || put_summary();
   }
 
-  const Stored& loaded() const override { return now_; }
+  const PersistedState& loaded_state() const override { return now_; }
   bool set_term(std::uint64_t term) override {
     return all_or_nothing([&] {
       term_ = term, vote_ = 0;
@@ -191,7 +192,7 @@
       return Statement(db_, "DELETE FROM log WHERE at >= ?").add(from).run();
     });
   }
-  bool put(const Snapshot& s, std::uint64_t keep_from) override {
+  bool save_snapshot(const Snapshot& s, std::uint64_t keep_from) override {
     std::string bytes(32, '\0');
     const std::uint64_t n[4] = {s.index, s.term, s.configuration_index, s.configuration.size()};
     std::memcpy(bytes.data(), n, 32);
@@ -210,12 +211,12 @@
   }
   std::optional<Snapshot> snapshot() const override { return now_.snapshot; }
 
-  void keep_ground(const std::string& text, std::uint64_t number) override {
+  void save_baseline(const std::string& text, std::uint64_t number) override {
     std::string bytes(8, '\0');
     std::memcpy(bytes.data(), &number, 8);
     put_one("ground", bytes + text);
   }
-  bool ground(std::string& text, std::uint64_t& number) const override {
+  bool baseline(std::string& text, std::uint64_t& number) const override {
     std::string bytes;
     bool damaged = false;
     if (!const_cast<Sqlite*>(this)->one("ground", bytes, damaged) || bytes.size() < 8) return false;
@@ -275,20 +276,22 @@
   }
 
   sqlite3* db_ = nullptr;
-  Stored now_;  // as it was found, but for the snapshot
+  PersistedState now_;  // as it was found, but for the snapshot
   std::uint64_t term_ = 0, vote_ = 0, low_ = 0, next_ = 0, sums_ = 0, snapshot_sum_ = 0;  // as they are
 };
 
 }  // namespace
 
-bool Kept::there(const std::string& folder) {
+bool SqliteStore::exists(const std::string& folder) {
   struct stat s {};
   return stat(file_in(folder).c_str(), &s) == 0;
 }
 
-std::unique_ptr<Kept> Kept::open(const std::string& folder, std::uint64_t make_id, std::string* set_aside) {
+std::unique_ptr<SqliteStore> SqliteStore::open(const std::string& folder, std::uint64_t make_id,
+                                               std::string* set_aside) {
   struct stat s {};
-  if (stat(folder.c_str(), &s) != 0 || !S_ISDIR(s.st_mode)) throw KeptError(folder + ": no such folder");
+  if (stat(folder.c_str(), &s) != 0 || !S_ISDIR(s.st_mode))
+    throw SqliteStoreError(folder + ": no such folder");
   const std::string file = file_in(folder);
   for (int tries = 0; tries < 2; ++tries) {
     auto store = std::make_unique<Sqlite>(file);
@@ -300,18 +303,18 @@
     const bool writes = probe && std::fwrite("x", 1, 1, probe) == 1 && std::fflush(probe) == 0;
     if (probe) std::fclose(probe);
     std::remove((folder + "/probe").c_str());
-    if (!writes) throw KeptError(folder + ": can't be written to");
+    if (!writes) throw SqliteStoreError(folder + ": can't be written to");
     std::string aside;
     for (int n = 1; n < 1000; ++n) {
       aside = file + ".damaged-" + std::to_string(n);
       if (stat(aside.c_str(), &s) != 0) break;
     }
     if (std::rename(file.c_str(), aside.c_str()) != 0)
-      throw KeptError(file + ": damaged, and can't be set aside");
+      throw SqliteStoreError(file + ": damaged, and can't be set aside");
     std::remove((file + "-journal").c_str());
     if (set_aside) *set_aside = aside;
   }
-  throw KeptError(file + ": can't be used");
+  throw SqliteStoreError(file + ": can't be used");
 }
 
 }  // namespace cairnhub::shared_config
--- a/src/shared_config/sqlite_store.h
+++ b/src/shared_config/sqlite_store.h
@@ -12,18 +12,19 @@
 
 namespace cairnhub::shared_config {
 
-struct KeptError : std::runtime_error {
+struct SqliteStoreError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-class Kept : public Store {
+class SqliteStore : public DurableStore {
  public:
   // `make_id`: an identity for a store that is new here. `set_aside` is told the new name of a damaged one.
-  static std::unique_ptr<Kept> open(const std::string& folder, std::uint64_t make_id, std::string* set_aside);
-  static bool there(const std::string& folder);
+  static std::unique_ptr<SqliteStore> open(const std::string& folder, std::uint64_t make_id,
+                                           std::string* set_aside);
+  static bool exists(const std::string& folder);
   // The ground that this broker keeps to, beside the log: of one that does not vote too.
-  virtual void keep_ground(const std::string& text, std::uint64_t number) = 0;
-  virtual bool ground(std::string& text, std::uint64_t& number) const = 0;
+  virtual void save_baseline(const std::string& text, std::uint64_t number) = 0;
+  virtual bool baseline(std::string& text, std::uint64_t& number) const = 0;
 };
 
 }  // namespace cairnhub::shared_config
--- a/src/shared_config/version_history.cpp
+++ b/src/shared_config/version_history.cpp
@@ -206,10 +206,10 @@
 
 std::string Versions::snapshot() const {
   accord::wire::State s;
-  for (const auto& [n, v] : versions_) put(v, *s.add_version());
+  for (const auto& [n, v] : versions_) to_proto(v, *s.add_version());
   s.set_in_force(in_force_);
-  put(ground_, *s.mutable_ground());
-  if (ground_next_) put(*ground_next_, *s.mutable_ground_next());
+  to_proto(ground_, *s.mutable_ground());
+  if (ground_next_) to_proto(*ground_next_, *s.mutable_ground_next());
   for (const auto& name : roster_) s.add_roster(name);
   s.set_zones_from(zones_from_), s.set_works_from(works_from_), s.set_settings_from(settings_from_);
   s.set_ground_works_from(ground_works_from_), s.set_ground_settings_from(ground_settings_from_);
@@ -228,15 +228,15 @@
   Versions read(board_);
   read.versions_.clear();
   for (const auto& v : s.version()) {
-    auto got = take(v);
+    auto got = from_proto(v);
     if (!got) return false;
     read.versions_[got->number] = std::move(*got);
   }
   read.in_force_ = s.in_force();
-  auto ground = take(s.ground());
+  auto ground = from_proto(s.ground());
   if (!ground || !read.versions_.count(read.in_force_)) return false;
   read.ground_ = std::move(*ground);
-  if (s.has_ground_next() && !(read.ground_next_ = take(s.ground_next()))) return false;
+  if (s.has_ground_next() && !(read.ground_next_ = from_proto(s.ground_next()))) return false;
   read.roster_ = {s.roster().begin(), s.roster().end()};
   read.zones_from_ = s.zones_from(), read.works_from_ = s.works_from();
   read.ground_works_from_ = s.ground_works_from();
--- a/tests/accord.cpp
+++ b/tests/accord.cpp
@@ -212,9 +212,9 @@
   const bool replaced = s.world.play(s.world.now() + 30 * kSecond, [&] {
     const int l = s.fleet.leader();
     if (l < 0) return false;
-    const auto votes = s.fleet.all[static_cast<std::size_t>(l)].accord->engine()->voting();
+    const auto votes = s.fleet.all[static_cast<std::size_t>(l)].accord->engine()->voter_names();
     return votes.size() == 3 && !votes.count("b1") &&
-           s.fleet.all[static_cast<std::size_t>(l)].accord->engine()->voters().size() == 3;
+           s.fleet.all[static_cast<std::size_t>(l)].accord->engine()->members().size() == 3;
   });
   std::printf("b1, a voter, dies: replaced after its time: %s\n", replaced ? "yes" : "NO");
   s.propose(7, limit(50), false, 1);
@@ -260,28 +260,28 @@
 // A voter whose log is longer than the new leader's, by what an earlier one never got committed: it answers
 // for what it was shown to share, and no further.
 void longer_log(Story&) {
-  KeptStore store(shared_config::first_voter_id("b0"));
-  std::vector<shared_config::Voter> three;
-  for (int i = 0; i < 3; ++i) three.push_back({shared_config::first_voter_id(broker(i)), broker(i), true});
-  shared_config::Engine::bootstrap(store, three);
+  InMemoryStore store(shared_config::initial_voter_id("b0"));
+  std::vector<shared_config::RaftMember> three;
+  for (int i = 0; i < 3; ++i) three.push_back({shared_config::initial_voter_id(broker(i)), broker(i), true});
+  shared_config::RaftNode::bootstrap(store, three);
   shared_config::Entry e;
   e.id = "never", e.text = limit(5);
   store.set_term(2);
   store.append(2, std::vector<shared_config::LogEntry>(20, {2, 1, shared_config::encode(e)}));
-  shared_config::Engine engine({}, "b0", store, 1, {});
+  shared_config::RaftNode engine({}, "b0", store, 1, {});
   engine.start(kSecond);
   const auto answer = [&](std::uint64_t after, std::uint64_t term_there, int entries) {
     accord::wire::Raft m;
-    m.set_type(1), m.set_from(shared_config::first_voter_id("b1")),
-        m.set_to(shared_config::first_voter_id("b0"));
+    m.set_type(1), m.set_from(shared_config::initial_voter_id("b1")),
+        m.set_to(shared_config::initial_voter_id("b0"));
     m.set_term(3), m.set_a(after), m.set_b(term_there), m.set_c(1);
     for (int k = 0; k < entries; ++k) {
       auto* one = m.add_entry();
       one->set_term(3), one->set_type(1), one->set_data(shared_config::encode(e));
     }
-    engine.received(kSecond, "b1", m);
+    engine.handle_message(kSecond, "b1", m);
     std::string said = "nothing";
-    while (auto out = engine.send()) {
+    while (auto out = engine.take_message()) {
       accord::wire::Packet p;
       if (!p.ParseFromString(out->bytes) || p.raft().type() != 2) continue;
       said = (p.raft().a() ? "no, it ends at " : "up to ") + std::to_string(p.raft().b());
--- a/tests/cluster/shared_config_cluster.h
+++ b/tests/cluster/shared_config_cluster.h
@@ -14,10 +14,10 @@
 namespace cairnhub::cluster {
 
 // What a voter wrote stays, whatever becomes of its process.
-class KeptStore : public shared_config::Store {
+class InMemoryStore : public shared_config::DurableStore {
  public:
-  explicit KeptStore(std::uint64_t id) { now_.voter_id = id; }
-  const shared_config::Stored& loaded() const override { return now_; }
+  explicit InMemoryStore(std::uint64_t id) { now_.voter_id = id; }
+  const shared_config::PersistedState& loaded_state() const override { return now_; }
   bool set_term(std::uint64_t term) override {
     if (fails) return false;
     now_.term = term, now_.vote = 0;
@@ -30,27 +30,27 @@
   }
   bool append(std::uint64_t first, const std::vector<shared_config::LogEntry>& entries) override {
     if (fails) return false;
-    if (now_.entries.empty()) now_.first = first;
-    now_.entries.resize(first - now_.first);
+    if (now_.entries.empty()) now_.first_index = first;
+    now_.entries.resize(first - now_.first_index);
     now_.entries.insert(now_.entries.end(), entries.begin(), entries.end());
     return true;
   }
   bool truncate(std::uint64_t from) override {
     if (fails) return false;
-    now_.entries.resize(from - now_.first);
+    now_.entries.resize(from - now_.first_index);
     return true;
   }
-  bool put(const shared_config::Snapshot& s, std::uint64_t keep_from) override {
+  bool save_snapshot(const shared_config::Snapshot& s, std::uint64_t keep_from) override {
     if (fails) return false;
     now_.snapshot = s;
-    const std::uint64_t end = now_.first + now_.entries.size();
+    const std::uint64_t end = now_.first_index + now_.entries.size();
     if (keep_from >= end) {
       now_.entries.clear();
-      now_.first = keep_from;
-    } else if (keep_from > now_.first) {
+      now_.first_index = keep_from;
+    } else if (keep_from > now_.first_index) {
       now_.entries.erase(now_.entries.begin(),
-                         now_.entries.begin() + static_cast<std::ptrdiff_t>(keep_from - now_.first));
-      now_.first = keep_from;
+                         now_.entries.begin() + static_cast<std::ptrdiff_t>(keep_from - now_.first_index));
+      now_.first_index = keep_from;
     }
     return true;
   }
@@ -58,14 +58,14 @@
   bool fails = false;
 
  private:
-  shared_config::Stored now_;
+  shared_config::PersistedState now_;
 };
 
 inline std::string broker(int i) { return "b" + std::to_string(i); }
 
 struct Accords {
   struct One {
-    std::unique_ptr<KeptStore> store;
+    std::unique_ptr<InMemoryStore> store;
     std::unique_ptr<shared_config::Accord> accord;
     bool runs = false, paused = false;
     int life = 0, stores = 0;
@@ -89,15 +89,16 @@
   Accords(Seeded& w, int n, int v, const shared_config::Terms& t, double drift = 0)
       : world(w), terms(t), all(static_cast<std::size_t>(n)), voters(v) {
     for (int i = 0; i < v; ++i) terms.voters.push_back(broker(i));
-    std::vector<shared_config::Voter> first;
-    for (int i = 0; i < v; ++i) first.push_back({shared_config::first_voter_id(broker(i)), broker(i), true});
+    std::vector<shared_config::RaftMember> first;
+    for (int i = 0; i < v; ++i)
+      first.push_back({shared_config::initial_voter_id(broker(i)), broker(i), true});
     for (int i = 0; i < n; ++i) {
       One& o = all[static_cast<std::size_t>(i)];
       o.rate = 1 + drift * (2 * world.chance.unit() - 1);
       o.offset = static_cast<Time>(world.chance.below(1000)) * kSecond;
       if (i < v) {
-        o.store = std::make_unique<KeptStore>(shared_config::first_voter_id(broker(i)));
-        shared_config::Engine::bootstrap(*o.store, first);
+        o.store = std::make_unique<InMemoryStore>(shared_config::initial_voter_id(broker(i)));
+        shared_config::RaftNode::bootstrap(*o.store, first);
       }
     }
   }
@@ -136,8 +137,8 @@
   }
   void new_store(int i) {  // its folder is gone: a store of another identity, without a log
     One& o = all[static_cast<std::size_t>(i)];
-    o.store = std::make_unique<KeptStore>(1000u + static_cast<unsigned>(i) * 100u +
-                                          static_cast<unsigned>(++o.stores));
+    o.store = std::make_unique<InMemoryStore>(1000u + static_cast<unsigned>(i) * 100u +
+                                              static_cast<unsigned>(++o.stores));
   }
   void pause(int i) { all[static_cast<std::size_t>(i)].paused = true; }
   void resume(int i) {
@@ -227,7 +228,7 @@
   int leader() const {
     for (int i = 0; i < static_cast<int>(all.size()); ++i) {
       const One& o = all[static_cast<std::size_t>(i)];
-      if (o.runs && !o.paused && o.accord->engine() && o.accord->engine()->leads()) return i;
+      if (o.runs && !o.paused && o.accord->engine() && o.accord->engine()->is_leader()) return i;
     }
     return -1;
   }
--- a/tests/golden/raft.cpp
+++ b/tests/golden/raft.cpp
@@ -65,22 +65,22 @@
 class Voters {
  public:
   Voters() {
-    shared_config::EngineTerms terms;
-    terms.snapshot_after = 5;
-    terms.snapshot_keeps = 1;
-    std::vector<shared_config::Voter> voters;
+    shared_config::RaftSettings terms;
+    terms.snapshot_threshold = 5;
+    terms.snapshot_trailing = 1;
+    std::vector<shared_config::RaftMember> voters;
     for (const char* name : kNames) {
-      voters.push_back({shared_config::first_voter_id(name), name, true});
+      voters.push_back({shared_config::initial_voter_id(name), name, true});
     }
     // A log that is longer than terms are many: no two numbers in a message are the same.
     const std::vector<shared_config::LogEntry> earlier(
         4, {1, kCommand, shared_config::encode(shared_config::Entry())});
-    for (const shared_config::Voter& voter : voters) {
-      stores_.push_back(std::make_unique<cluster::KeptStore>(voter.id));
-      shared_config::Engine::bootstrap(*stores_.back(), voters);
+    for (const shared_config::RaftMember& voter : voters) {
+      stores_.push_back(std::make_unique<cluster::InMemoryStore>(voter.id));
+      shared_config::RaftNode::bootstrap(*stores_.back(), voters);
       stores_.back()->append(2, earlier);
       engines_.push_back(
-          std::make_unique<shared_config::Engine>(terms, voter.name, *stores_.back(), voter.id, nullptr));
+          std::make_unique<shared_config::RaftNode>(terms, voter.name, *stores_.back(), voter.id, nullptr));
       engines_.back()->start(now_);
     }
   }
@@ -97,7 +97,7 @@
     play_until([&] { return said_.count(kInstallSnapshot) > 0; });
     play_for(kTicksBetween);
     const int before = leader();
-    engines_[static_cast<std::size_t>(before)]->hand_over(now_);
+    engines_[static_cast<std::size_t>(before)]->transfer_leadership(now_);
     play_until([&] { return leader() >= 0 && leader() != before; });
     return said_;
   }
@@ -111,7 +111,7 @@
 
   int leader() const {
     for (int at = 0; at < kVoters; ++at) {
-      if (engines_[static_cast<std::size_t>(at)]->leads()) {
+      if (engines_[static_cast<std::size_t>(at)]->is_leader()) {
         return at;
       }
     }
@@ -131,7 +131,7 @@
 
   void play_for(int ticks) {
     for (int tick = 0; tick < ticks; ++tick) {
-      now_ += shared_config::EngineTerms{}.tick;
+      now_ += shared_config::RaftSettings{}.tick_interval;
       for (const auto& engine : engines_) {
         engine->tick(now_);
         deliver();
@@ -151,7 +151,7 @@
     for (bool is_any = true; is_any;) {
       is_any = false;
       for (int from = 0; from < kVoters; ++from) {
-        while (const auto message = engines_[static_cast<std::size_t>(from)]->send()) {
+        while (const auto message = engines_[static_cast<std::size_t>(from)]->take_message()) {
           is_any = true;
           carry(from, *message);
         }
@@ -159,7 +159,7 @@
     }
   }
 
-  void carry(int from, const shared_config::Engine::Outgoing& message) {
+  void carry(int from, const shared_config::RaftNode::Outgoing& message) {
     const int to = message.to.back() - '0';
     Packet packet;
     ASSERT_TRUE(packet.ParseFromString(message.bytes));
@@ -167,7 +167,7 @@
     if (from == cut_off_ || to == cut_off_) {
       return;
     }
-    engines_[static_cast<std::size_t>(to)]->received(now_, kNames[from], packet.raft());
+    engines_[static_cast<std::size_t>(to)]->handle_message(now_, kNames[from], packet.raft());
   }
 
   // The first of each type; of entries the first that is an entry of ours, as the library leaves a barrier's
@@ -182,8 +182,8 @@
 
   Time now_ = 0;
   int cut_off_ = kNobody;
-  std::vector<std::unique_ptr<cluster::KeptStore>> stores_;
-  std::vector<std::unique_ptr<shared_config::Engine>> engines_;
+  std::vector<std::unique_ptr<cluster::InMemoryStore>> stores_;
+  std::vector<std::unique_ptr<shared_config::RaftNode>> engines_;
   std::map<std::uint32_t, std::string> said_;
 };
 
--- a/tests/golden/shared_state.cpp
+++ b/tests/golden/shared_state.cpp
@@ -71,7 +71,7 @@
 
 std::string encoded_version() {
   accord::wire::Version into;
-  shared_config::put(version_record(), into);
+  shared_config::to_proto(version_record(), into);
   return into.SerializeAsString();
 }
 
@@ -79,7 +79,7 @@
   accord::wire::Version read;
   ASSERT_TRUE(read.ParseFromString(bytes));
   expect_filled(read, 17);
-  const auto taken = shared_config::take(read);
+  const auto taken = shared_config::from_proto(read);
   ASSERT_TRUE(taken.has_value());
   const Version wanted = version_record();
   EXPECT_EQ(taken->number, wanted.number);
--- a/tests/kept.cpp
+++ b/tests/kept.cpp
@@ -36,9 +36,9 @@
 }
 
 // All that a store says, in one line.
-std::string told(const Stored& s) {
+std::string told(const PersistedState& s) {
   std::string out = std::to_string(s.voter_id) + " term " + std::to_string(s.term) + " vote " +
-                    std::to_string(s.vote) + " from " + std::to_string(s.first);
+                    std::to_string(s.vote) + " from " + std::to_string(s.first_index);
   for (const LogEntry& e : s.entries) out += " " + std::to_string(e.term) + ":" + e.data;
   if (s.snapshot) out += " snapshot " + std::to_string(s.snapshot->index) + s.snapshot->data;
   return out;
@@ -46,7 +46,7 @@
 
 // The steps of a voter's life; after each, what a store then holds.
 constexpr int kSteps = 6;
-bool step(Store& s, int n) {
+bool step(DurableStore& s, int n) {
   switch (n) {
     case 0:
       return s.set_term(3);
@@ -59,7 +59,7 @@
     case 4:
       return s.append(3, {{4, 1, "third"}, {4, 1, "fourth"}});
     default:
-      return s.put({2, 3, 1, "conf", "state"}, 2);
+      return s.save_snapshot({2, 3, 1, "conf", "state"}, 2);
   }
 }
 
@@ -67,9 +67,9 @@
 std::string found() {
   std::string aside;
   try {
-    const auto s = Kept::open(folder, 5, &aside);
-    return aside.empty() ? told(s->loaded()) : "aside";
-  } catch (const KeptError& e) {
+    const auto s = SqliteStore::open(folder, 5, &aside);
+    return aside.empty() ? told(s->loaded_state()) : "aside";
+  } catch (const SqliteStoreError& e) {
     return std::string("refused: ") + e.what();
   }
 }
@@ -81,12 +81,12 @@
   folder = mkdtemp(made);
   std::map<int, std::string> after;
   after[-1] = [] {
-    Kept::open(folder, 5, nullptr);
+    SqliteStore::open(folder, 5, nullptr);
     return found();
   }();
   for (int n = 0; n < kSteps; ++n) {
     {
-      const auto s = Kept::open(folder, 9, nullptr);
+      const auto s = SqliteStore::open(folder, 9, nullptr);
       if (!step(*s, n)) return std::printf("step %d fails\n", n), 1;
     }
     after[n] = found();
@@ -131,14 +131,14 @@
     int between = 0, lost = 0;
     for (rlim_t room = 0; room < whole.size() + 9000; room += 509) {
       empty();
-      { Kept::open(folder, 5, nullptr); }
+      { SqliteStore::open(folder, 5, nullptr); }
       int report[2];
       if (pipe(report) != 0) return 1;
       const pid_t pid = fork();
       if (pid == 0) {
         std::signal(SIGXFSZ, killed ? SIG_DFL : SIG_IGN);
         try {
-          const auto s = Kept::open(folder, 5, nullptr);
+          const auto s = SqliteStore::open(folder, 5, nullptr);
           const rlimit most{room, RLIM_INFINITY}, no_core{0, 0};
           setrlimit(RLIMIT_CORE, &no_core);
           setrlimit(RLIMIT_FSIZE, &most);
@@ -147,7 +147,7 @@
             const char done = static_cast<char>(n);
             if (write(report[1], &done, 1) != 1) break;
           }
-        } catch (const KeptError&) {
+        } catch (const SqliteStoreError&) {
         }
         _exit(0);
       }
@@ -170,8 +170,8 @@
   std::string name;
   std::printf("a folder that is not there: ");
   try {
-    Kept::open(folder + "/none", 1, &name);
-  } catch (const KeptError& e) {
+    SqliteStore::open(folder + "/none", 1, &name);
+  } catch (const SqliteStoreError& e) {
     std::printf("refused%s\n",
                 std::string(e.what()).find("no such folder") != std::string::npos ? ", it says so" : "");
   }
--- a/tests/stored/dump.cpp
+++ b/tests/stored/dump.cpp
@@ -302,16 +302,16 @@
 
 }  // namespace
 
-std::string dump_store(const shared_config::Kept& store) {
-  const shared_config::Stored& held = store.loaded();
+std::string dump_store(const shared_config::SqliteStore& store) {
+  const shared_config::PersistedState& held = store.loaded_state();
   Lines out;
   out.title("store").number("voter id", held.voter_id).number("term", held.term).number("vote", held.vote);
   std::string baseline;
   std::uint64_t baseline_number = 0;
-  if (store.ground(baseline, baseline_number)) {
+  if (store.baseline(baseline, baseline_number)) {
     out.number("own baseline", baseline_number).text("text", baseline).raw(dump_rules(baseline));
   }
-  std::uint64_t index = held.first;
+  std::uint64_t index = held.first_index;
   for (const shared_config::LogEntry& entry : held.entries) {
     out.title("entry " + std::to_string(index)).number("term", entry.term).number("type", entry.type);
     out.raw(dump_logged(entry));
--- a/tests/stored/dump.h
+++ b/tests/stored/dump.h
@@ -9,7 +9,7 @@
 namespace cairnhub::stored {
 
 // Term, vote, each log entry decoded, the snapshot decoded.
-std::string dump_store(const shared_config::Kept& store);
+std::string dump_store(const shared_config::SqliteStore& store);
 // What the entries have led to.
 std::string dump_state(const shared_config::Versions& versions);
 
--- a/tests/stored/stores.cpp
+++ b/tests/stored/stores.cpp
@@ -38,13 +38,15 @@
   }
 }
 
-std::uint64_t next_index(const shared_config::Stored& held) { return held.first + held.entries.size(); }
+std::uint64_t next_index(const shared_config::PersistedState& held) {
+  return held.first_index + held.entries.size();
+}
 
 }  // namespace
 
-std::unique_ptr<shared_config::Kept> open_store(const std::string& folder) {
+std::unique_ptr<shared_config::SqliteStore> open_store(const std::string& folder) {
   std::string set_aside;
-  auto store = shared_config::Kept::open(folder, shared_config::first_voter_id(kBroker), &set_aside);
+  auto store = shared_config::SqliteStore::open(folder, shared_config::initial_voter_id(kBroker), &set_aside);
   if (!set_aside.empty()) {
     throw std::runtime_error("the store was taken for damaged: " + set_aside);
   }
@@ -53,28 +55,29 @@
 
 void write_log_alone(const std::string& folder) {
   const auto store = open_store(folder);
-  const std::vector<shared_config::Voter> voters = {{shared_config::first_voter_id("b1"), "b1", true},
-                                                    {shared_config::first_voter_id("b2"), "b2", true},
-                                                    {shared_config::first_voter_id("b3"), "b3", false}};
-  require(shared_config::Engine::bootstrap(*store, voters), "the first entry");
+  const std::vector<shared_config::RaftMember> voters = {
+      {shared_config::initial_voter_id("b1"), "b1", true},
+      {shared_config::initial_voter_id("b2"), "b2", true},
+      {shared_config::initial_voter_id("b3"), "b3", false}};
+  require(shared_config::RaftNode::bootstrap(*store, voters), "the first entry");
   std::vector<LogEntry> log = as_log(entries_before_snapshot(), 1);
   log.push_back({kLaterTerm, kBarrier, std::string(8, '\0')});
   for (LogEntry& entry : as_log(entries_after_snapshot(), kLaterTerm)) {
     log.push_back(std::move(entry));
   }
   require(store->set_term(kLaterTerm), "a term");
-  require(store->set_vote(shared_config::first_voter_id("b2")), "a vote");
+  require(store->set_vote(shared_config::initial_voter_id("b2")), "a vote");
   require(store->append(2, log), "entries");
-  store->keep_ground(kKeptBaseline, kKeptBaselineNumber);
+  store->save_baseline(kKeptBaseline, kKeptBaselineNumber);
 }
 
 void write_snapshot_and_tail(const std::string& folder) {
   {
     const auto store = open_store(folder);
-    require(
-        shared_config::Engine::bootstrap(*store, {{shared_config::first_voter_id(kBroker), kBroker, true}}),
-        "the voter");
-    store->keep_ground(kKeptBaseline, kKeptBaselineNumber);
+    require(shared_config::RaftNode::bootstrap(*store,
+                                               {{shared_config::initial_voter_id(kBroker), kBroker, true}}),
+            "the voter");
+    store->save_baseline(kKeptBaseline, kKeptBaselineNumber);
   }
   const std::vector<Entry> before = entries_before_snapshot();
   std::vector<Entry> all = before;
@@ -85,13 +88,13 @@
   run_engine(folder, all, static_cast<unsigned>(before.size()) + first_two);
 }
 
-shared_config::Versions replay(const shared_config::Kept& store, Numbers* numbers) {
-  const shared_config::Stored& held = store.loaded();
+shared_config::Versions replay(const shared_config::SqliteStore& store, Numbers* numbers) {
+  const shared_config::PersistedState& held = store.loaded_state();
   shared_config::Versions versions(std::make_shared<maintenance::JobQueue>());
   if (held.snapshot) {
     require(versions.restore(held.snapshot->data), "its snapshot");
   }
-  std::uint64_t index = held.first;
+  std::uint64_t index = held.first_index;
   for (const LogEntry& logged : held.entries) {
     const bool is_in_snapshot = held.snapshot && index <= held.snapshot->index;
     ++index;
@@ -110,11 +113,11 @@
 
 void append_to_log_alone(const std::string& folder) {
   const auto store = open_store(folder);
-  const shared_config::Stored& held = store->loaded();
+  const shared_config::PersistedState& held = store->loaded_state();
   const std::uint64_t next = next_index(held);
   const std::vector<LogEntry> log = as_log(entries_to_append(), kAppendedTerm);
   require(store->set_term(kAppendedTerm), "a later term");
-  require(store->set_vote(shared_config::first_voter_id("b3")), "a later vote");
+  require(store->set_vote(shared_config::initial_voter_id("b3")), "a later vote");
   require(store->append(next, {{kAppendedTerm, kCommand, "to be cut off"}}), "an entry");
   require(store->truncate(next), "cutting off");
   require(store->append(next, log), "further entries");
@@ -124,21 +127,21 @@
   }
   const std::uint64_t last = next + log.size() - 1;
   const std::string voters = "";  // in the engine's own form; another store's test holds one
-  require(store->put({last, kAppendedTerm, 1, voters, versions.snapshot()}, last), "a snapshot");
+  require(store->save_snapshot({last, kAppendedTerm, 1, voters, versions.snapshot()}, last), "a snapshot");
 }
 
 EngineRun run_engine(const std::string& folder, const std::vector<Entry>& entries, unsigned snapshot_after) {
   const auto store = open_store(folder);
-  shared_config::EngineTerms terms;
-  terms.snapshot_after = snapshot_after == 0 ? kNoSnapshot : snapshot_after;
-  terms.snapshot_keeps = kEntriesKeptBelowSnapshot;
-  shared_config::Engine engine(terms, kBroker, *store, kEngineSeed, nullptr,
-                               std::make_shared<maintenance::JobQueue>());
+  shared_config::RaftSettings terms;
+  terms.snapshot_threshold = snapshot_after == 0 ? kNoSnapshot : snapshot_after;
+  terms.snapshot_trailing = kEntriesKeptBelowSnapshot;
+  shared_config::RaftNode engine(terms, kBroker, *store, kEngineSeed, nullptr,
+                                 std::make_shared<maintenance::JobQueue>());
   Time now = 0;
   EngineRun run;
   run.is_broken = !engine.start(now);
-  for (int ticks = 0; ticks < kTicksAtMost && !engine.leads(); ++ticks) {
-    now += terms.tick;
+  for (int ticks = 0; ticks < kTicksAtMost && !engine.is_leader(); ++ticks) {
+    now += terms.tick_interval;
     engine.tick(now);
   }
   for (const Entry& entry : entries) {
@@ -147,10 +150,10 @@
           run.numbers.push_back(verdict ? verdict->number : 0);
         });
     require(is_taken, "a proposal");
-    engine.turn(now);
+    engine.run_callbacks(now);
   }
   run.state = dump_state(engine.versions());
-  run.is_broken = run.is_broken || engine.broken() || !engine.leads();
+  run.is_broken = run.is_broken || engine.has_failed() || !engine.is_leader();
   return run;
 }
 
--- a/tests/stored/stores.h
+++ b/tests/stored/stores.h
@@ -12,7 +12,7 @@
 
 namespace cairnhub::stored {
 
-std::unique_ptr<shared_config::Kept> open_store(
+std::unique_ptr<shared_config::SqliteStore> open_store(
     const std::string& folder);  // throws where it would be set aside
 
 void write_log_alone(const std::string& folder);
@@ -22,7 +22,7 @@
 using Numbers = std::vector<std::uint64_t>;
 
 // The state machine after the stored snapshot, if any, and the stored log.
-shared_config::Versions replay(const shared_config::Kept& store, Numbers* numbers = nullptr);
+shared_config::Versions replay(const shared_config::SqliteStore& store, Numbers* numbers = nullptr);
 
 // Goes on as a follower would: a later term, a vote, entries cut off and written anew, a snapshot.
 void append_to_log_alone(const std::string& folder);
