--- a/src/shared_config/log_codec.cpp
+++ b/src/shared_config/log_codec.cpp
@@ -17,7 +17,11 @@
     return std::nullopt;
   Version out;
   out.number = v.number();
-  out.text = v.rules(), out.hash = v.hash(), out.who = v.who(), out.why = v.why(), out.id = v.id(),
+  out.text = v.rules();
+  out.hash = v.hash();
+  out.who = v.who();
+  out.why = v.why();
+  out.id = v.id();
   out.note = v.note();
   try {
     out.rules = std::make_shared<const Rules>(parse_rules(v.rules(), "version"));
--- a/src/shared_config/log_codec.h
+++ b/src/shared_config/log_codec.h
@@ -1,4 +1,4 @@
-// Between this package's records and its messages (shared_config.proto).
+// Converts versions to and from their protobuf messages (shared_config.proto).
 #pragma once
 #include <optional>
 
@@ -7,8 +7,9 @@
 
 namespace cairnhub::shared_config {
 
+// Writes the version into the fields of `into`.
 void to_proto(const Version& v, accord::wire::Version& into);
-// None where its text can't be used or is not what its hash says.
+// Returns none if the rules are malformed, too long, or don't match their hash.
 std::optional<Version> from_proto(const accord::wire::Version& v);
 
 }  // namespace cairnhub::shared_config
--- a/src/shared_config/raft_node.h
+++ b/src/shared_config/raft_node.h
@@ -1,8 +1,9 @@
-// The log that voters agree on: Raft (Ongaro and Ousterhout 2014; pre-vote, leadership transfer and one
-// change of voters at a time after Ongaro's thesis) by Debian's libraft, driven by our time, messages, store
-// and chance, so that a seed plays the whole.
+// The replicated log of the shared configuration. `RaftNode` runs one member of a Raft group (Ongaro and
+// Ousterhout 2014; pre-vote, leadership transfer and single-server membership changes as in Ongaro's thesis)
+// on top of libraft. Time, messages, storage and randomness come from the caller, so that a simulation with a
+// fixed seed is reproducible.
 //
-// Errors: a store that fails makes the engine `broken`: it says nothing more and votes no more.
+// Errors: once the store fails, the node has failed for good. It sends nothing and votes no more.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -24,66 +25,83 @@
 namespace cairnhub::shared_config {
 
 struct RaftSettings {
-  Time election_timeout =
-      300 * kSecond / 1000;  // without a leader for this to twice this, one asks for votes
+  // A node that hears from no leader for a random time of one to two timeouts starts an election.
+  Time election_timeout = 300 * kSecond / 1000;
   Time heartbeat_interval = 60 * kSecond / 1000;
   Time tick_interval = 20 * kSecond / 1000;
-  unsigned snapshot_threshold = 512;  // entries
-  unsigned snapshot_trailing = 64;
+  unsigned snapshot_threshold = 512;  // entries applied before the next snapshot
+  unsigned snapshot_trailing = 64;    // entries kept in the log below a snapshot
 };
 
+// A member of the Raft group. A member that doesn't vote yet is a spare that catches up with the log.
 struct RaftMember {
   std::uint64_t id = 0;
   std::string name;
   bool is_voter = true;
 };
 
-// Of a broker whose store was made by `accord init`; every other store draws its own.
+// Returns the member id of a broker whose store was created by `accord init`. Stores created in any other way
+// have a random id.
 std::uint64_t initial_voter_id(const std::string& name);
 
 class RaftNode {
  public:
-  // `applied` is told each entry, as it is applied, with what it led to.
+  // Called with each applied entry and its result.
   using Applied = std::function<void(const Entry&, const Verdict&)>;
-  RaftNode(const RaftSettings& terms, const std::string& name, DurableStore& store, std::uint64_t seed,
+  // `store` must outlive the node. `board`: the initial state of the additional state machine, if the log
+  // drives one.
+  RaftNode(const RaftSettings& settings, const std::string& name, DurableStore& store, std::uint64_t seed,
            Applied applied, std::shared_ptr<const Board> board = nullptr);
   ~RaftNode();
   RaftNode(const RaftNode&) = delete;
   RaftNode& operator=(const RaftNode&) = delete;
 
-  bool start(Time now);  // false: broken
-  void tick(Time now);   // every terms.tick
+  // Loads the stored state. Returns false if the node has failed.
+  bool start(Time now);
+  // To be called once per `tick_interval`.
+  void tick(Time now);
   void handle_message(Time now, const std::string& from, const accord::wire::Raft& message);
   struct Outgoing {
     std::string to;
-    std::string bytes;
+    std::string bytes;  // a wire::Packet
   };
+  // Returns the next message to send, or none.
   std::optional<Outgoing> take_message();
-  // Ends of sends and appends are told to the library here, outside its own calls: after each of the above.
+  // Reports completed sends and appends to libraft, which must not be called from within its own callbacks.
+  // To be called after each of the calls above.
   void run_callbacks(Time now);
 
-  // `done`: the verdict, or none where the entry may or may not come in.
+  // Called with the result, or with none if it is unknown whether the entry will be committed.
   using Done = std::function<void(const std::optional<Verdict>&)>;
-  bool propose(Time now, const Entry& entry, Done done);  // false: does not lead
+  // Returns false, without calling `done`, if this node is not the leader.
+  bool propose(Time now, const Entry& entry, Done done);
+  // Adds a non-voting member, or promotes the member `id` to a voter if it was added before. Returns false if
+  // this node is not the leader or another change is in progress.
   bool add_voter(Time now, std::uint64_t id, const std::string& name);
   bool remove_voter(Time now, std::uint64_t id);
-  bool has_change_in_progress() const;  // a change of voters is under way
-  bool transfer_leadership(Time now);   // leadership, to any voter
+  bool has_change_in_progress() const;
+  // Transfers leadership to any other voter. Returns false if this node does not lead or a transfer is
+  // already in progress.
+  bool transfer_leadership(Time now);
 
+  // True once the store or libraft has failed.
   bool has_failed() const;
-  bool is_leader() const;  // and has applied all that was committed before its term
+  // True if this node leads and has applied every entry that was committed before its term.
+  bool is_leader() const;
   std::uint64_t term() const;
-  std::string leader() const;  // empty: not known
+  // Returns the leader's name; empty if unknown.
+  std::string leader() const;
   std::uint64_t id() const;
   std::vector<RaftMember> members() const;
-  std::set<std::string> voter_names() const;  // their names
+  std::set<std::string> voter_names() const;
   const Versions& versions() const;
   std::uint64_t applied_index() const;
 
-  // For a new store: the log's first entry names the voters.
+  // Writes the first log entry of a new store: the configuration with these members. Returns false if the
+  // store is not empty or fails.
   static bool bootstrap(DurableStore& store, const std::vector<RaftMember>& voters);
-  // Where a majority is gone for good: from now on these vote, whatever the log says. An operator's last
-  // resort.
+  // Replaces the members, whatever the log says. An operator's last resort after a majority of the voters is
+  // lost for good.
   static bool force_voters(DurableStore& store, const std::vector<RaftMember>& voters);
 
  private:
