--- a/src/shared_config/sqlite_store.h
+++ b/src/shared_config/sqlite_store.h
@@ -1,8 +1,8 @@
-// A voter's store in a folder: SQLite, each record under a checksum (XXH3).
+// The durable state of a voter in an SQLite database. Each record has an XXH3 checksum.
 //
-// Errors: opening says what is wrong in one line. A store in which any record is damaged is set aside under
-// another name and a new one begun, with a new identity: this broker then joins anew, and never votes twice
-// in a term.
+// Errors: `open` throws `SqliteStoreError` with a one-line message. If any record is damaged, the file is
+// renamed and a new store with a new identity is created, so that this broker rejoins as another voter and
+// never votes twice in a term.
 #pragma once
 #include <memory>
 #include <stdexcept>
@@ -18,12 +18,16 @@
 
 class SqliteStore : public DurableStore {
  public:
-  // `make_id`: an identity for a store that is new here. `set_aside` is told the new name of a damaged one.
-  static std::unique_ptr<SqliteStore> open(const std::string& folder, std::uint64_t make_id,
+  // Opens the store in `folder`, or creates one with the identity `new_voter_id`. If a damaged store was
+  // renamed, `set_aside` (optional) receives its new file name.
+  static std::unique_ptr<SqliteStore> open(const std::string& folder, std::uint64_t new_voter_id,
                                            std::string* set_aside);
+  // Returns whether `folder` holds a store.
   static bool exists(const std::string& folder);
-  // The ground that this broker keeps to, beside the log: of one that does not vote too.
+  // The newest baseline that this broker follows. It is stored beside the log, also by brokers that don't
+  // vote.
   virtual void save_baseline(const std::string& text, std::uint64_t number) = 0;
+  // Returns false if no baseline is stored or its record is damaged.
   virtual bool baseline(std::string& text, std::uint64_t& number) const = 0;
 };
 
