--- a/bench/accord.cpp
+++ b/bench/accord.cpp
@@ -17,16 +17,16 @@
   for (const int n : {10, 100, 300, 1000}) {
     Seeded world(static_cast<std::uint64_t>(n));
     shared_config::Terms terms;
-    Accords f(world, n, 3, terms, 0.01);
+    SharedConfigCluster f(world, n, 3, terms, 0.01);
     f.start_all();
-    if (!world.play(world.now() + 60 * kSecond, [&] { return f.settled(); }))
+    if (!world.play(world.now() + 60 * kSecond, [&] { return f.is_settled(); }))
       return std::printf("%d: not settled\n", n), 1;
     world.play(world.now() + 3 * kSecond);
     bool ground = false;
     f.propose(n - 1, "op_type { name: \"x\" held_most: 5 }", true, 1, "g",
               [&](const auto&) { ground = true; });
     world.play(world.now() + 10 * kSecond,
-               [&] { return ground && f.all[0].accord->engine()->versions().ground().number == 2; });
+               [&] { return ground && f.nodes[0].config_node->engine()->versions().ground().number == 2; });
     world.play(world.now() + 3 * kSecond);
     const auto sent = world.sent, bytes = world.bytes;
     const Time calm = world.now();
@@ -35,15 +35,15 @@
                  weight = static_cast<double>(world.bytes - bytes) / 10 / n;
     Time at = world.now();
     f.propose(n - 1, "op_type { name: \"x\" held_most: 50 }", false, 1, "v2");
-    const bool all = world.play(at + 20 * kSecond, [&] { return f.settled(2); });
+    const bool all = world.play(at + 20 * kSecond, [&] { return f.is_settled(2); });
     const double ms = seconds(world.now() - at) * 1000;
     for (int a = n - std::max(1, n / 10); a < n; ++a)
       for (int b = 0; b < n; ++b) world.cut_both(a, b);
     at = world.now();
     f.propose(3, "op_type { name: \"x\" held_most: 40 }", false, 2, "v3");
-    const bool forced = world.play(at + 20 * kSecond, [&] { return f.top_force >= 3; });
+    const bool forced = world.play(at + 20 * kSecond, [&] { return f.highest_active >= 3; });
     std::printf("%7d %25.1f %25.1f %20.1f %17.0f%s\n", n, ms, seconds(world.now() - at) * 1000, a_second,
-                weight, all && forced && f.longest == 0 ? "" : "  NOT as it should be");
+                weight, all && forced && f.longest_contradiction == 0 ? "" : "  NOT as it should be");
     std::fflush(stdout);
   }
   shared_config::Holder holder({}, {});
--- a/tests/accord.cpp
+++ b/tests/accord.cpp
@@ -1,4 +1,5 @@
-// Stories and random runs of agreement among brokers in a seeded world: versions, leases, common ground.
+// Scenarios and random runs of a simulated cluster that shares its configuration: versions, leases and the
+// baseline.
 #include <cstdio>
 #include <cstdlib>
 #include <map>
@@ -11,6 +12,9 @@
 namespace {
 
 constexpr Time kMs = kSecond / 1000;
+constexpr std::uint32_t kAppendEntries = 1;  // libraft's message types
+constexpr std::uint32_t kAppendEntriesResult = 2;
+constexpr std::uint32_t kCommand = 1;  // libraft's entry type for proposals
 
 shared_config::Terms terms_of(Time stated) {
   shared_config::Terms t;
@@ -19,27 +23,27 @@
   return t;
 }
 
-struct Story {
+struct Scenario {
   Seeded world;
-  Accords fleet;
+  SharedConfigCluster fleet;
   int proposed = 0;
-  Story(std::uint64_t seed, int n = 9, int voters = 3, Time stated = 2 * kSecond, double drift = 0.01)
+  Scenario(std::uint64_t seed, int n = 9, int voters = 3, Time stated = 2 * kSecond, double drift = 0.01)
       : world(seed), fleet(world, n, voters, terms_of(stated), drift) {}
   void begin() {
     fleet.start_all();
-    const bool good = settles();
-    std::printf("%zu brokers, %d voters: %s\n", fleet.all.size(), fleet.voters,
+    const bool good = wait_until_settled();
+    std::printf("%zu brokers, %d voters: %s\n", fleet.nodes.size(), fleet.voters,
                 good ? "all hold leases on version 1" : "NOT all hold leases");
     ground("op_type { name: \"lookup\" held_most: 10 }");
-    world.play(world.now() +
-               2 * kSecond);  // a new leader forces nothing while leases of an earlier one may run
+    // A new leader activates nothing while leases granted by an earlier leader may still be valid.
+    world.play(world.now() + 2 * kSecond);
   }
-  bool settles(std::uint64_t least = 1, Time within = 30 * kSecond) {
-    return world.play(world.now() + within, [&] { return fleet.settled(least); });
+  bool wait_until_settled(std::uint64_t least = 1, Time within = 30 * kSecond) {
+    return world.play(world.now() + within, [&] { return fleet.is_settled(least); });
   }
   std::string verdict;
   std::uint64_t number = 0;
-  // Proposes and waits for the verdict.
+  // Proposes and waits for the result.
   void propose(int by, const std::string& rules, bool is_ground, std::uint64_t base,
                const std::string& id = "") {
     bool done = false;
@@ -54,10 +58,11 @@
     if (!done && !world.play(world.now() + 20 * kSecond, [&] { return done; })) verdict = "NO verdict";
   }
   void ground(const std::string& rules) {
-    propose(4 % static_cast<int>(fleet.all.size()), rules, true, base_ground, "");
+    propose(4 % static_cast<int>(fleet.nodes.size()), rules, true, base_ground, "");
     const bool good = world.play(world.now() + 20 * kSecond, [&] {
-      for (const auto& o : fleet.all)
-        if (o.runs && (o.accord->holder().ground().number < number || o.accord->holder().ground_next()))
+      for (const auto& o : fleet.nodes)
+        if (o.is_running &&
+            (o.config_node->holder().ground().number < number || o.config_node->holder().ground_next()))
           return false;
       return true;
     });
@@ -65,225 +70,252 @@
     std::printf("ground %s, kept by all: %s\n", verdict.c_str(), good ? "yes" : "NO");
   }
   std::uint64_t base_ground = 1;
-  void audit() {
+  void print_audit() {
     std::printf("longest contradiction %lld ms, contents unequal %d, grounds within what others act on: %s\n",
-                static_cast<long long>(fleet.longest / kMs), fleet.unequal,
-                fleet.grounds_hold() ? "yes" : "NO");
+                static_cast<long long>(fleet.longest_contradiction / kMs), fleet.content_mismatches,
+                fleet.baselines_hold() ? "yes" : "NO");
   }
 };
 
 std::string limit(int n) { return "op_type { name: \"lookup\" held_most: " + std::to_string(n) + " }"; }
 
-void versions(Story& s) {
-  s.begin();
-  s.propose(5, limit(50), false, 1);
-  std::printf("a version that narrows, from b5: %s; ", s.verdict.c_str());
-  Time at = s.world.now();
-  std::printf("in force at all %s\n",
-              s.settles(2) && s.world.now() - at < 200 * kMs ? "within 0.2 s" : "LATE");
-  s.propose(6, limit(80), false, 2);
-  at = s.world.now();
-  std::printf("one that widens, from b6: %s; in force at all %s\n", s.verdict.c_str(),
-              s.settles(3) && s.world.now() - at < 200 * kMs ? "within 0.2 s" : "LATE");
-  s.propose(6, limit(80), false, 2);
-  std::printf("on an older base: %s\n", s.verdict.c_str());
-  s.propose(6, limit(5), false, 3);
-  std::printf("below the ground: %s\n", s.verdict.c_str());
-  s.propose(6, "op_type { name: \"lookup\" held_mots: 5 }", false, 3);
-  std::printf("misspelt: %s\n", s.verdict.c_str());
-  s.propose(7, limit(60), false, 3, "same");
-  s.propose(8, limit(60), false, 3, "same");
-  std::printf("the same proposal twice: %s\n", s.verdict.c_str());
-  s.propose(8, limit(99), true, s.base_ground);
-  std::printf("a ground wider than the version in force: %s\n", s.verdict.c_str());
-  s.audit();
+void versions(Scenario& scenario) {
+  scenario.begin();
+  scenario.propose(5, limit(50), false, 1);
+  std::printf("a version that narrows, from b5: %s; ", scenario.verdict.c_str());
+  Time at = scenario.world.now();
+  std::printf("in force at all %s\n", scenario.wait_until_settled(2) && scenario.world.now() - at < 200 * kMs
+                                          ? "within 0.2 s"
+                                          : "LATE");
+  scenario.propose(6, limit(80), false, 2);
+  at = scenario.world.now();
+  std::printf(
+      "one that widens, from b6: %s; in force at all %s\n", scenario.verdict.c_str(),
+      scenario.wait_until_settled(3) && scenario.world.now() - at < 200 * kMs ? "within 0.2 s" : "LATE");
+  scenario.propose(6, limit(80), false, 2);
+  std::printf("on an older base: %s\n", scenario.verdict.c_str());
+  scenario.propose(6, limit(5), false, 3);
+  std::printf("below the ground: %s\n", scenario.verdict.c_str());
+  scenario.propose(6, "op_type { name: \"lookup\" held_mots: 5 }", false, 3);
+  std::printf("misspelt: %s\n", scenario.verdict.c_str());
+  scenario.propose(7, limit(60), false, 3, "same");
+  scenario.propose(8, limit(60), false, 3, "same");
+  std::printf("the same proposal twice: %s\n", scenario.verdict.c_str());
+  scenario.propose(8, limit(99), true, scenario.base_ground);
+  std::printf("a ground wider than the version in force: %s\n", scenario.verdict.c_str());
+  scenario.print_audit();
 }
 
-// A third can't be reached: a version that contradicts what they may act on waits for their leases, no
-// longer.
-void third_away(Story& s) {
-  s.begin();
+// A third of the brokers is unreachable: a version that contradicts their leases is activated as soon as
+// these leases have expired.
+void third_away(Scenario& scenario) {
+  scenario.begin();
   for (int a = 6; a < 9; ++a)
-    for (int b = 0; b < 6; ++b) s.world.cut_both(a, b);
-  const Time cut = s.world.now();
-  s.propose(0, limit(50), false, 1);
-  std::printf("b6 to b8 are cut off; a version that narrows: %s\n", s.verdict.c_str());
-  const bool forced = s.world.play(s.world.now() + 10 * kSecond, [&] { return s.fleet.top_force >= 2; });
-  const Time after = s.world.now() - cut;
+    for (int b = 0; b < 6; ++b) scenario.world.cut_both(a, b);
+  const Time cut = scenario.world.now();
+  scenario.propose(0, limit(50), false, 1);
+  std::printf("b6 to b8 are cut off; a version that narrows: %s\n", scenario.verdict.c_str());
+  const bool forced = scenario.world.play(scenario.world.now() + 10 * kSecond,
+                                          [&] { return scenario.fleet.highest_active >= 2; });
+  const Time after = scenario.world.now() - cut;
   std::printf("in force %s, once their leases had lapsed: %s\n",
               forced && after < 2 * kSecond ? "within the stated 2 s" : "TOO LATE",
-              after >= s.fleet.terms.lease.for_holder() * 2 / 3 ? "yes" : "NO, too soon");
-  int on_ground = 0, serving = 0;
+              after >= scenario.fleet.terms.lease.for_holder() * 2 / 3 ? "yes" : "NO, too soon");
+  int on_ground = 0;
+  int serving = 0;
   for (int i = 6; i < 9; ++i) {
-    auto& o = s.fleet.all[static_cast<std::size_t>(i)];
-    const auto& acting = *o.accord->acting(s.fleet.local(o));
+    auto& o = scenario.fleet.nodes[static_cast<std::size_t>(i)];
+    const auto& acting = *o.config_node->acting(scenario.fleet.local_time(o));
     on_ground += acting.low == 0 && acting.rules->of("lookup").held_most == 10;
     serving += acting.rules->of("lookup").served;
   }
   std::printf("of the three cut off, on the common ground %d, serving %d\n", on_ground, serving);
-  s.propose(1, limit(70), false, 2);
-  s.world.cut.clear();
-  std::printf("widened again while they are away: %s; back, all settle on 3: %s\n", s.verdict.c_str(),
-              s.settles(3) ? "yes" : "NO");
-  s.audit();
+  scenario.propose(1, limit(70), false, 2);
+  scenario.world.cut.clear();
+  std::printf("widened again while they are away: %s; back, all settle on 3: %s\n", scenario.verdict.c_str(),
+              scenario.wait_until_settled(3) ? "yes" : "NO");
+  scenario.print_audit();
 }
 
-void leader_one_way(Story& s) {
-  s.begin();
-  const int l = s.fleet.leader();
-  for (int b = 0; b < 9; ++b) s.world.cut.insert({l, b});
-  s.propose((l + 1) % 3, limit(50), false, 1);
-  std::printf("what the leader sends is lost, what it is sent comes; a version: %s\n", s.verdict.c_str());
-  s.world.play(s.world.now() + 5 * kSecond);
+void leader_one_way(Scenario& scenario) {
+  scenario.begin();
+  const int leader = scenario.fleet.leader();
+  for (int b = 0; b < 9; ++b) scenario.world.cut.insert({leader, b});
+  scenario.propose((leader + 1) % 3, limit(50), false, 1);
+  std::printf("what the leader sends is lost, what it is sent comes; a version: %s\n",
+              scenario.verdict.c_str());
+  scenario.world.play(scenario.world.now() + 5 * kSecond);
   std::printf("another leads: %s; the old one acts on the ground: %s\n",
-              s.fleet.leader() != l && s.fleet.leader() >= 0 ? "yes" : "NO", [&] {
-                auto& o = s.fleet.all[static_cast<std::size_t>(l)];
-                return o.accord->acting(s.fleet.local(o))->low == 0 ? "yes" : "NO";
+              scenario.fleet.leader() != leader && scenario.fleet.leader() >= 0 ? "yes" : "NO", [&] {
+                auto& o = scenario.fleet.nodes[static_cast<std::size_t>(leader)];
+                return o.config_node->acting(scenario.fleet.local_time(o))->low == 0 ? "yes" : "NO";
               }());
-  s.world.cut.clear();
-  std::printf("healed, all settle: %s\n", s.settles(2) ? "yes" : "NO");
-  s.audit();
+  scenario.world.cut.clear();
+  std::printf("healed, all settle: %s\n", scenario.wait_until_settled(2) ? "yes" : "NO");
+  scenario.print_audit();
 }
 
-void no_majority(Story& s) {
-  s.begin();
-  s.fleet.kill(0), s.fleet.kill(1);
-  s.world.play(s.world.now() + 5 * kSecond);
+void no_majority(Scenario& scenario) {
+  scenario.begin();
+  scenario.fleet.kill(0);
+  scenario.fleet.kill(1);
+  scenario.world.play(scenario.world.now() + 5 * kSecond);
   int ground = 0;
-  for (auto& o : s.fleet.all)
-    if (o.runs) ground += o.accord->acting(s.fleet.local(o))->low == 0;
+  for (auto& o : scenario.fleet.nodes)
+    if (o.is_running) ground += o.config_node->acting(scenario.fleet.local_time(o))->low == 0;
   std::printf("two of three voters die: %d of 7 act on the ground and serve\n", ground);
-  s.propose(5, limit(50), false, 1);
-  std::printf("a version: %s\n", s.verdict.c_str());
-  s.fleet.start(0), s.fleet.start(1);
-  std::printf("they are back: all settle: %s\n", s.settles() ? "yes" : "NO");
-  s.audit();
+  scenario.propose(5, limit(50), false, 1);
+  std::printf("a version: %s\n", scenario.verdict.c_str());
+  scenario.fleet.start(0);
+  scenario.fleet.start(1);
+  std::printf("they are back: all settle: %s\n", scenario.wait_until_settled() ? "yes" : "NO");
+  scenario.print_audit();
 }
 
-// The proposer's voter dies at every moment after the proposal; what it heard of is never lost.
-void proposer_dies(Story& s) {
-  s.begin();
-  int heard = 0, in_book = 0, lost = 0;
+// The leader is killed at varying moments after a proposal. A version whose acceptance was reported to the
+// proposer must not be lost.
+void proposer_dies(Scenario& scenario) {
+  scenario.begin();
+  int reported = 0;
+  int accepted = 0;
+  int lost = 0;
   for (int k = 0; k < 40; ++k) {
-    const int l = s.fleet.leader();
-    if (l < 0) break;
-    const std::uint64_t base = s.fleet.all[static_cast<std::size_t>(l)].accord->engine()->versions().newest();
+    const int leader = scenario.fleet.leader();
+    if (leader < 0) break;
+    const std::uint64_t base =
+        scenario.fleet.nodes[static_cast<std::size_t>(leader)].config_node->engine()->versions().newest();
     bool told = false;
-    s.fleet.propose(l, limit(20 + k), false, base, "k" + std::to_string(k),
-                    [&](const std::optional<shared_config::Verdict>& v) { told = v && v->number; });
-    s.world.play(s.world.now() + k * 100'000);  // 0 to 4 ms
-    s.fleet.kill(l);
-    heard += told;
-    s.world.play(s.world.now() + 5 * kSecond, [&] { return s.fleet.leader() >= 0; });
-    const int next = s.fleet.leader();
+    scenario.fleet.propose(leader, limit(20 + k), false, base, "k" + std::to_string(k),
+                           [&](const std::optional<shared_config::Verdict>& v) { told = v && v->number; });
+    scenario.world.play(scenario.world.now() + k * 100'000);  // 0 to 4 ms
+    scenario.fleet.kill(leader);
+    reported += told;
+    scenario.world.play(scenario.world.now() + 5 * kSecond, [&] { return scenario.fleet.leader() >= 0; });
+    const int next = scenario.fleet.leader();
     bool in = false;
-    for (const auto& [n, v] : s.fleet.all[static_cast<std::size_t>(next)].accord->engine()->versions().all())
+    for (const auto& [n, v] :
+         scenario.fleet.nodes[static_cast<std::size_t>(next)].config_node->engine()->versions().all())
       in = in || v.id == "k" + std::to_string(k);
-    in_book += in, lost += told && !in;
-    s.fleet.start(l);
-    s.settles();
+    accepted += in;
+    lost += told && !in;
+    scenario.fleet.start(leader);
+    scenario.wait_until_settled();
   }
   std::printf(
       "the leader dies 0 to 4 ms after it was proposed to, 40 times: lost though told %d; some heard %s, "
       "some unheard came in %s\n",
-      lost, heard > 0 ? "yes" : "NO", in_book > heard ? "yes" : "NO");
-  s.audit();
+      lost, reported > 0 ? "yes" : "NO", accepted > reported ? "yes" : "NO");
+  scenario.print_audit();
 }
 
-void hundred(Story& s) {
-  s.begin();
-  const Time began = s.world.now();
+void hundred(Scenario& scenario) {
+  scenario.begin();
+  const Time began = scenario.world.now();
   int taken = 0;
   for (int k = 0; k < 100; ++k) {
     const int by = k % 9;
-    s.fleet.propose(by, limit(20 + k), false, static_cast<std::uint64_t>(k) + 1, "h" + std::to_string(k),
-                    [&](const std::optional<shared_config::Verdict>& v) { taken += v && v->number; });
-    s.world.play(began + (k + 1) * 10 * kMs);
+    scenario.fleet.propose(by, limit(20 + k), false, static_cast<std::uint64_t>(k) + 1,
+                           "h" + std::to_string(k),
+                           [&](const std::optional<shared_config::Verdict>& v) { taken += v && v->number; });
+    scenario.world.play(began + (k + 1) * 10 * kMs);
   }
   std::printf("100 versions in a second: taken %d; all settle on 101: %s\n", taken,
-              s.settles(101) ? "yes" : "NO");
-  s.audit();
+              scenario.wait_until_settled(101) ? "yes" : "NO");
+  scenario.print_audit();
 }
 
-void voter_lost(Story& s) {
-  for (int i = 3; i < 6; ++i) s.fleet.new_store(i);  // they may vote, though they do not yet
-  s.begin();
-  s.fleet.kill(1);
-  const bool replaced = s.world.play(s.world.now() + 30 * kSecond, [&] {
-    const int l = s.fleet.leader();
-    if (l < 0) return false;
-    const auto votes = s.fleet.all[static_cast<std::size_t>(l)].accord->engine()->voter_names();
+void voter_lost(Scenario& scenario) {
+  for (int i = 3; i < 6; ++i) scenario.fleet.replace_store(i);  // they have a store, but are not voters yet
+  scenario.begin();
+  scenario.fleet.kill(1);
+  const bool replaced = scenario.world.play(scenario.world.now() + 30 * kSecond, [&] {
+    const int leader = scenario.fleet.leader();
+    if (leader < 0) return false;
+    const auto votes =
+        scenario.fleet.nodes[static_cast<std::size_t>(leader)].config_node->engine()->voter_names();
     return votes.size() == 3 && !votes.count("b1") &&
-           s.fleet.all[static_cast<std::size_t>(l)].accord->engine()->members().size() == 3;
+           scenario.fleet.nodes[static_cast<std::size_t>(leader)].config_node->engine()->members().size() ==
+               3;
   });
   std::printf("b1, a voter, dies: replaced after its time: %s\n", replaced ? "yes" : "NO");
-  s.propose(7, limit(50), false, 1);
-  std::printf("a version: %s\n", s.verdict.c_str());
-  const int l = s.fleet.leader();
-  s.fleet.kill(l);
-  s.propose(8, limit(60), false, 2);
-  std::printf("the leader dies too; a version: %s\n", s.verdict.c_str());
-  s.audit();
+  scenario.propose(7, limit(50), false, 1);
+  std::printf("a version: %s\n", scenario.verdict.c_str());
+  const int leader = scenario.fleet.leader();
+  scenario.fleet.kill(leader);
+  scenario.propose(8, limit(60), false, 2);
+  std::printf("the leader dies too; a version: %s\n", scenario.verdict.c_str());
+  scenario.print_audit();
 }
 
-// A voter whose folder is lost comes under another identity: it does not vote again in a term it voted in.
-void folder_lost(Story& s) {
-  s.begin();
-  const int l = s.fleet.leader(), other = (l + 1) % 3;
-  s.fleet.kill(other);
-  s.fleet.new_store(other);
-  s.fleet.start(other);
-  s.world.play(s.world.now() + 50 * kMs);
-  std::printf("a voter's folder is lost; it comes back and votes at once: %s\n",
-              s.fleet.all[static_cast<std::size_t>(other)].accord->status(0).votes ? "YES" : "no");
-  const bool again = s.world.play(s.world.now() + 60 * kSecond, [&] {
-    return s.fleet.all[static_cast<std::size_t>(other)].accord->status(0).votes;
+// A voter that lost its folder rejoins with another identity, so that it cannot vote twice in a term.
+void folder_lost(Scenario& scenario) {
+  scenario.begin();
+  const int leader = scenario.fleet.leader();
+  const int other = (leader + 1) % 3;
+  scenario.fleet.kill(other);
+  scenario.fleet.replace_store(other);
+  scenario.fleet.start(other);
+  scenario.world.play(scenario.world.now() + 50 * kMs);
+  std::printf(
+      "a voter's folder is lost; it comes back and votes at once: %s\n",
+      scenario.fleet.nodes[static_cast<std::size_t>(other)].config_node->status(0).votes ? "YES" : "no");
+  const bool again = scenario.world.play(scenario.world.now() + 60 * kSecond, [&] {
+    return scenario.fleet.nodes[static_cast<std::size_t>(other)].config_node->status(0).votes;
   });
   std::printf("taken in as another: %s\n", again ? "yes" : "NO");
-  s.propose(5, limit(50), false, 1);
-  std::printf("a version: %s, all settle: %s\n", s.verdict.c_str(), s.settles(2) ? "yes" : "NO");
-  s.audit();
+  scenario.propose(5, limit(50), false, 1);
+  std::printf("a version: %s, all settle: %s\n", scenario.verdict.c_str(),
+              scenario.wait_until_settled(2) ? "yes" : "NO");
+  scenario.print_audit();
 }
 
-void all_voters_down(Story& s) {
-  s.begin();
-  s.propose(5, limit(50), false, 1);
-  s.settles(2);
-  for (int i = 0; i < 3; ++i) s.fleet.kill(i);
-  s.world.play(s.world.now() + 10 * kSecond);
-  for (int i = 0; i < 3; ++i) s.fleet.start(i);
-  std::printf("all voters down for 10 s and up again: all settle on 2: %s\n", s.settles(2) ? "yes" : "NO");
-  s.audit();
+void all_voters_down(Scenario& scenario) {
+  scenario.begin();
+  scenario.propose(5, limit(50), false, 1);
+  scenario.wait_until_settled(2);
+  for (int i = 0; i < 3; ++i) scenario.fleet.kill(i);
+  scenario.world.play(scenario.world.now() + 10 * kSecond);
+  for (int i = 0; i < 3; ++i) scenario.fleet.start(i);
+  std::printf("all voters down for 10 s and up again: all settle on 2: %s\n",
+              scenario.wait_until_settled(2) ? "yes" : "NO");
+  scenario.print_audit();
 }
 
-// The test of the test: a clock twice as fast as the bound allows, and the auditor must see the breach.
-// A voter whose log is longer than the new leader's, by what an earlier one never got committed: it answers
-// for what it was shown to share, and no further.
-void longer_log(Story&) {
+// A voter's log is longer than the new leader's, by entries of an earlier leader that were never committed.
+// It must acknowledge only the entries that the leader's message proves equal; acknowledging the end of its
+// own log would let the leader commit entries that no other voter holds.
+void longer_log(Scenario&) {
   InMemoryStore store(shared_config::initial_voter_id("b0"));
   std::vector<shared_config::RaftMember> three;
   for (int i = 0; i < 3; ++i) three.push_back({shared_config::initial_voter_id(broker(i)), broker(i), true});
   shared_config::RaftNode::bootstrap(store, three);
   shared_config::Entry e;
-  e.id = "never", e.text = limit(5);
+  e.id = "never";
+  e.text = limit(5);
   store.set_term(2);
   store.append(2, std::vector<shared_config::LogEntry>(20, {2, 1, shared_config::encode(e)}));
-  shared_config::RaftNode engine({}, "b0", store, 1, {});
-  engine.start(kSecond);
+  shared_config::RaftNode node({}, "b0", store, 1, {});
+  node.start(kSecond);
   const auto answer = [&](std::uint64_t after, std::uint64_t term_there, int entries) {
     accord::wire::Raft m;
-    m.set_type(1), m.set_from(shared_config::initial_voter_id("b1")),
-        m.set_to(shared_config::initial_voter_id("b0"));
-    m.set_term(3), m.set_a(after), m.set_b(term_there), m.set_c(1);
+    m.set_type(kAppendEntries);
+    m.set_from(shared_config::initial_voter_id("b1"));
+    m.set_to(shared_config::initial_voter_id("b0"));
+    m.set_term(3);
+    m.set_a(after);
+    m.set_b(term_there);
+    m.set_c(1);
     for (int k = 0; k < entries; ++k) {
       auto* one = m.add_entry();
-      one->set_term(3), one->set_type(1), one->set_data(shared_config::encode(e));
+      one->set_term(3);
+      one->set_type(kCommand);
+      one->set_data(shared_config::encode(e));
     }
-    engine.handle_message(kSecond, "b1", m);
+    node.handle_message(kSecond, "b1", m);
     std::string said = "nothing";
-    while (auto out = engine.take_message()) {
+    while (auto out = node.take_message()) {
       accord::wire::Packet p;
-      if (!p.ParseFromString(out->bytes) || p.raft().type() != 2) continue;
+      if (!p.ParseFromString(out->bytes) || p.raft().type() != kAppendEntriesResult) continue;
       said = (p.raft().a() ? "no, it ends at " : "up to ") + std::to_string(p.raft().b());
     }
     return said;
@@ -295,40 +327,45 @@
   std::printf("told of nothing after 9: %s\n", answer(9, 3, 0).c_str());
 }
 
-// A broker starts anew while what its earlier life asked is still on its way, and while it was granted.
-void two_lives(Story&) {
+// A broker restarts while a lease request of its earlier process, or the grant for one, is still in transit.
+void two_lives(Scenario&) {
   shared_config::LeaseTerms terms;
   shared_config::Leases leader(terms);
-  shared_config::Versions book;
+  shared_config::Versions versions;
   for (auto kind : {shared_config::Entry::Kind::enlist, shared_config::Entry::Kind::propose_ground}) {
     shared_config::Entry e;
-    e.kind = kind, e.name = "x", e.id = "g", e.base = 1, e.text = limit(5);
-    book.apply(e);
+    e.kind = kind;
+    e.name = "x";
+    e.id = "g";
+    e.base = 1;
+    e.text = limit(5);
+    versions.apply(e);
   }
   const std::set<std::string> voters{"v"};
   leader.leads(kSecond, 1, voters, "v");
   const auto grants = [&](Time now, const shared_config::Ask& ask) {
     leader.asked(now, "x", ask);
-    if (const auto r = leader.round(now)) leader.confirmed(now, "v", 1, *r, book);
+    if (const auto r = leader.round(now)) leader.confirmed(now, "v", 1, *r, versions);
     return leader.granted();
   };
   shared_config::Holder first(terms, {}, 7);
   const shared_config::Ask asked = first.ask(kSecond);
   shared_config::Ask keeps = first.ask(kSecond);
   const auto early = grants(kSecond, asked);
-  keeps.ground = book.ground_next()->number;  // the first life has come to keep to it
+  keeps.ground = versions.ground_next()->number;  // the first process has adopted it
   shared_config::Holder second(terms, {}, 9);
   const shared_config::Ask anew = second.ask(2 * kSecond);
   std::printf("what its earlier life was granted is an answer to it: %s\n",
               second.answered(2 * kSecond, early.front().grant) ? "YES" : "no");
   grants(2 * kSecond, keeps);
   std::printf("its earlier life kept to the ground: forced %s\n",
-              leader.may_force_ground(book) ? "yes" : "no");
+              leader.may_force_ground(versions) ? "yes" : "no");
   grants(2 * kSecond, anew);
-  std::printf("it has asked, and keeps to none: forced %s\n", leader.may_force_ground(book) ? "YES" : "no");
+  std::printf("it has asked, and keeps to none: forced %s\n",
+              leader.may_force_ground(versions) ? "YES" : "no");
   grants(2 * kSecond, keeps);
   std::printf("what its earlier life said comes once more: forced %s\n",
-              leader.may_force_ground(book) ? "YES" : "no");
+              leader.may_force_ground(versions) ? "YES" : "no");
   std::printf("what it asked itself is answered: %s\n", [&] {
     for (const auto& g : grants(2 * kSecond, second.ask(2 * kSecond)))
       if (second.answered(2 * kSecond, g.grant)) return "yes";
@@ -336,42 +373,48 @@
   }());
 }
 
-void drift_breach(Story& s) {
-  s.begin();
+// Checks the auditor itself: with clocks that drift far beyond the bound it must see a contradiction.
+void drift_breach(Scenario& scenario) {
+  scenario.begin();
   for (int round = 0; round < 20; ++round) {
-    // The leader's clock runs too fast and b8's too slow, and b8 is cut off right after it renewed.
-    const int l = s.fleet.leader();
-    if (l < 0) break;
-    for (int b = 0; b < 8; ++b) s.world.cut_both(8, b);
-    const std::uint64_t base = s.fleet.all[static_cast<std::size_t>(l)].accord->engine()->versions().newest();
-    s.propose(l, limit(20 + round), false, base);
-    s.world.play(s.world.now() + 3 * kSecond);
-    s.world.cut.clear();
-    s.settles();
+    // The leader's clock runs too fast and that of b8 too slow; b8 is cut off just after it renewed its
+    // lease.
+    const int leader = scenario.fleet.leader();
+    if (leader < 0) break;
+    for (int b = 0; b < 8; ++b) scenario.world.cut_both(8, b);
+    const std::uint64_t base =
+        scenario.fleet.nodes[static_cast<std::size_t>(leader)].config_node->engine()->versions().newest();
+    scenario.propose(leader, limit(20 + round), false, base);
+    scenario.world.play(scenario.world.now() + 3 * kSecond);
+    scenario.world.cut.clear();
+    scenario.wait_until_settled();
   }
   std::printf("clocks drift by more than the bound: the auditor sees a contradiction: %s\n",
-              s.fleet.longest > 0 ? "yes" : "NO");
+              scenario.fleet.longest_contradiction > 0 ? "yes" : "NO");
 }
 
 int random_runs(int runs, int from) {
   Time longest = 0;
-  std::uint64_t versions = 0;
+  std::uint64_t versions_made = 0;
   for (int seed = from; seed < from + runs; ++seed) {
-    const int voters = seed % 4 == 0 ? 5 : 3, n = voters + seed % 6;
+    const int voters = seed % 4 == 0 ? 5 : 3;
+    const int n = voters + seed % 6;
     const Time stated = seed % 3 == 0 ? kSecond / 2 : seed % 3 == 1 ? 2 * kSecond : 10 * kSecond;
-    Story s(static_cast<std::uint64_t>(seed), n, voters, stated);
-    Accords& f = s.fleet;
-    s.world.loss = 0.05 * (seed % 4), s.world.doubled = 0.05 * (seed % 3);
+    Scenario scenario(static_cast<std::uint64_t>(seed), n, voters, stated);
+    SharedConfigCluster& f = scenario.fleet;
+    scenario.world.loss = 0.05 * (seed % 4);
+    scenario.world.doubled = 0.05 * (seed % 3);
     f.start_all();
-    auto& c = s.world.chance;
-    s.world.play(s.world.now() + 3 * kSecond);
+    auto& c = scenario.world.chance;
+    scenario.world.play(scenario.world.now() + 3 * kSecond);
     f.propose(n - 1, limit(10), true, 1, "g");
-    s.world.play(s.world.now() + 3 * kSecond);
+    scenario.world.play(scenario.world.now() + 3 * kSecond);
     int proposals = 0;
     const auto newest = [&] {
       std::uint64_t top = 1;
-      for (const auto& o : f.all)
-        if (o.runs && o.accord->engine()) top = std::max(top, o.accord->engine()->versions().newest());
+      for (const auto& o : f.nodes)
+        if (o.is_running && o.config_node->engine())
+          top = std::max(top, o.config_node->engine()->versions().newest());
       return top;
     };
     const auto complain = [&](const char* what) {
@@ -381,91 +424,98 @@
     for (int step = 0; step < 30; ++step) {
       const int a = static_cast<int>(c.below(static_cast<std::size_t>(n)));
       const int b = static_cast<int>(c.below(static_cast<std::size_t>(n)));
-      auto& one = f.all[static_cast<std::size_t>(a)];
+      auto& one = f.nodes[static_cast<std::size_t>(a)];
       switch (c.below(9)) {
         case 0:
-          s.world.cut.insert({a, b});
+          scenario.world.cut.insert({a, b});
           break;
         case 1:
-          if (a != b) s.world.cut_both(a, b);
+          if (a != b) scenario.world.cut_both(a, b);
           break;
         case 2:
-          s.world.cut.clear();
+          scenario.world.cut.clear();
           break;
         case 3:
-          if (one.runs && !one.paused) f.kill(a);
+          if (one.is_running && !one.is_paused) f.kill(a);
           break;
         case 4:
         case 5:
-          if (!one.runs) f.start(a);
+          if (!one.is_running) f.start(a);
           break;
         case 6:
-          if (one.runs && !one.paused) f.pause(a);
+          if (one.is_running && !one.is_paused) f.pause(a);
           break;
         case 7:
-          if (one.paused) f.resume(a);
+          if (one.is_paused) f.resume(a);
           break;
         default:
           break;
       }
-      if (one.runs && !one.paused && c.below(2) == 0)
+      if (one.is_running && !one.is_paused && c.below(2) == 0)
         f.propose(a, limit(11 + static_cast<int>(c.below(90))), false, newest(),
                   "r" + std::to_string(++proposals));
-      s.world.play(s.world.now() + static_cast<Time>(c.unit() * 1.5 * static_cast<double>(stated)));
-      if (!f.grounds_hold())
+      scenario.world.play(scenario.world.now() +
+                          static_cast<Time>(c.unit() * 1.5 * static_cast<double>(stated)));
+      if (!f.baselines_hold())
         return complain("a broker without a lease acts on what a version in force forbids");
     }
-    s.world.cut.clear();
-    s.world.loss = 0;
+    scenario.world.cut.clear();
+    scenario.world.loss = 0;
     for (int i = 0; i < n; ++i) {
-      auto& one = f.all[static_cast<std::size_t>(i)];
-      if (one.paused) f.resume(i);
-      if (!one.runs) f.start(i);
+      auto& one = f.nodes[static_cast<std::size_t>(i)];
+      if (one.is_paused) f.resume(i);
+      if (!one.is_running) f.start(i);
     }
-    if (!s.settles(1, 60 * kSecond + 10 * stated)) return complain("not all settle once all is well");
-    if (f.longest > 0) return complain("two brokers act on contradicting versions");
-    if (f.unequal) return complain("one number, two contents");
-    // Leases outlive a leader that has just stepped down.
-    if (!s.world.play(s.world.now() + 10 * stated, [&] { return f.leader() >= 0; }))
+    if (!scenario.wait_until_settled(1, 60 * kSecond + 10 * stated))
+      return complain("not all settle once all is well");
+    if (f.longest_contradiction > 0) return complain("two brokers act on contradicting versions");
+    if (f.content_mismatches) return complain("one number, two contents");
+    // Leases may outlive a leader that has just stepped down, so there may be no leader yet.
+    if (!scenario.world.play(scenario.world.now() + 10 * stated, [&] { return f.leader() >= 0; }))
       return complain("nobody leads once all is well");
-    const int l = f.leader();
-    const auto& book = f.all[static_cast<std::size_t>(l)].accord->engine()->versions();
-    for (const auto& [number, id] : f.told) {
-      const auto* v = book.at(number);
-      if (number + shared_config::Versions::kKept > book.in_force() && (!v || v->id != id))
+    const int leader = f.leader();
+    const auto& versions = f.nodes[static_cast<std::size_t>(leader)].config_node->engine()->versions();
+    for (const auto& [number, id] : f.accepted) {
+      const auto* v = versions.at(number);
+      if (number + shared_config::Versions::kKept > versions.in_force() && (!v || v->id != id))
         return complain("a version that its proposer was told of is lost");
     }
     std::map<std::string, int> ids;
-    for (const auto& [number, v] : book.all())
+    for (const auto& [number, v] : versions.all())
       if (!v.id.empty() && ++ids[v.id] > 1) return complain("one proposal became two versions");
-    longest = std::max(longest, f.longest), versions += book.newest();
+    longest = std::max(longest, f.longest_contradiction);
+    versions_made += versions.newest();
   }
   std::printf(
       "%d seeds: longest contradiction %lld ms, none lost, none doubled, all settle; versions made: %s\n",
       runs, static_cast<long long>(longest / kMs),
-      versions > static_cast<std::uint64_t>(runs) * 3 ? "many" : "FEW");
+      versions_made > static_cast<std::uint64_t>(runs) * 3 ? "many" : "FEW");
   return 0;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  const std::string story = argc > 1 ? argv[1] : "";
-  if (story == "random")
+  const std::string name = argc > 1 ? argv[1] : "";
+  if (name == "random")
     return random_runs(argc > 2 ? std::atoi(argv[2]) : 300, argc > 3 ? std::atoi(argv[3]) : 1);
-  const std::map<std::string, void (*)(Story&)> stories{
+  const std::map<std::string, void (*)(Scenario&)> scenarios{
       {"versions", versions},         {"third_away", third_away},       {"leader_one_way", leader_one_way},
       {"no_majority", no_majority},   {"proposer_dies", proposer_dies}, {"hundred", hundred},
       {"voter_lost", voter_lost},     {"folder_lost", folder_lost},     {"all_voters_down", all_voters_down},
       {"drift_breach", drift_breach}, {"longer_log", longer_log},       {"two_lives", two_lives}};
-  const auto it = stories.find(story);
-  if (it == stories.end()) return std::printf("no such story\n"), 1;
-  if (story == "drift_breach") {
-    Story s(7, 9, 3, 2 * kSecond, 0);
-    for (int i = 0; i < 9; ++i) s.fleet.all[static_cast<std::size_t>(i)].rate = i < 8 ? 1.4 : 0.7;
-    it->second(s);
+  const auto it = scenarios.find(name);
+  if (it == scenarios.end()) {
+    std::printf("no such story\n");
+    return 1;
+  }
+  if (name == "drift_breach") {
+    Scenario scenario(7, 9, 3, 2 * kSecond, 0);
+    for (int i = 0; i < 9; ++i)
+      scenario.fleet.nodes[static_cast<std::size_t>(i)].clock_rate = i < 8 ? 1.4 : 0.7;
+    it->second(scenario);
   } else {
-    Story s(7);
-    it->second(s);
+    Scenario scenario(7);
+    it->second(scenario);
   }
 }
--- a/tests/cluster/shared_config_cluster.h
+++ b/tests/cluster/shared_config_cluster.h
@@ -1,5 +1,5 @@
-// Many brokers' Accord in one seeded world, each on its own clock, with an auditor that looks after every
-// event.
+// A simulated cluster of brokers that share a configuration. Each broker has its own clock, and an auditor
+// checks the safety properties after every event.
 #pragma once
 #include <cstdio>
 #include <map>
@@ -13,211 +13,237 @@
 
 namespace cairnhub::cluster {
 
-// What a voter wrote stays, whatever becomes of its process.
+// A store in memory. Its content outlives the simulated process.
 class InMemoryStore : public shared_config::DurableStore {
  public:
-  explicit InMemoryStore(std::uint64_t id) { now_.voter_id = id; }
-  const shared_config::PersistedState& loaded_state() const override { return now_; }
+  explicit InMemoryStore(std::uint64_t id) { state_.voter_id = id; }
+  const shared_config::PersistedState& loaded_state() const override { return state_; }
   bool set_term(std::uint64_t term) override {
     if (fails) return false;
-    now_.term = term, now_.vote = 0;
+    state_.term = term;
+    state_.vote = 0;
     return true;
   }
   bool set_vote(std::uint64_t id) override {
     if (fails) return false;
-    now_.vote = id;
+    state_.vote = id;
     return true;
   }
   bool append(std::uint64_t first, const std::vector<shared_config::LogEntry>& entries) override {
     if (fails) return false;
-    if (now_.entries.empty()) now_.first_index = first;
-    now_.entries.resize(first - now_.first_index);
-    now_.entries.insert(now_.entries.end(), entries.begin(), entries.end());
+    if (state_.entries.empty()) state_.first_index = first;
+    state_.entries.resize(first - state_.first_index);
+    state_.entries.insert(state_.entries.end(), entries.begin(), entries.end());
     return true;
   }
   bool truncate(std::uint64_t from) override {
     if (fails) return false;
-    now_.entries.resize(from - now_.first_index);
+    state_.entries.resize(from - state_.first_index);
     return true;
   }
   bool save_snapshot(const shared_config::Snapshot& s, std::uint64_t keep_from) override {
     if (fails) return false;
-    now_.snapshot = s;
-    const std::uint64_t end = now_.first_index + now_.entries.size();
+    state_.snapshot = s;
+    const std::uint64_t end = state_.first_index + state_.entries.size();
     if (keep_from >= end) {
-      now_.entries.clear();
-      now_.first_index = keep_from;
-    } else if (keep_from > now_.first_index) {
-      now_.entries.erase(now_.entries.begin(),
-                         now_.entries.begin() + static_cast<std::ptrdiff_t>(keep_from - now_.first_index));
-      now_.first_index = keep_from;
+      state_.entries.clear();
+      state_.first_index = keep_from;
+    } else if (keep_from > state_.first_index) {
+      state_.entries.erase(
+          state_.entries.begin(),
+          state_.entries.begin() + static_cast<std::ptrdiff_t>(keep_from - state_.first_index));
+      state_.first_index = keep_from;
     }
     return true;
   }
-  std::optional<shared_config::Snapshot> snapshot() const override { return now_.snapshot; }
-  bool fails = false;
+  std::optional<shared_config::Snapshot> snapshot() const override { return state_.snapshot; }
+  bool fails = false;  // makes every write fail
 
  private:
-  shared_config::PersistedState now_;
+  shared_config::PersistedState state_;
 };
 
 inline std::string broker(int i) { return "b" + std::to_string(i); }
 
-struct Accords {
-  struct One {
+struct SharedConfigCluster {
+  struct Node {
     std::unique_ptr<InMemoryStore> store;
-    std::unique_ptr<shared_config::Accord> accord;
-    bool runs = false, paused = false;
-    int life = 0, stores = 0;
-    double rate = 1;  // of its clock
-    Time offset = 0, woken_at = kNever;
-    std::vector<std::function<void()>> held;
+    std::unique_ptr<shared_config::Accord> config_node;
+    bool is_running = false;
+    bool is_paused = false;
+    int incarnation = 0;
+    int stores_created = 0;
+    double clock_rate = 1;
+    Time clock_offset = 0;
+    Time wake_at = kNever;
+    std::vector<std::function<void()>> held_calls;  // while paused
   };
   Seeded& world;
   shared_config::Terms terms;
-  std::vector<One> all;
+  std::vector<Node> nodes;
   int voters;
 
-  // The auditor's.
-  Time contradicted_since = kNever, longest = 0;  // intervals that do not meet
-  std::map<std::uint64_t, std::string> hashes;    // of versions, as any broker has applied them
-  std::map<std::uint64_t, std::string> told;      // accepted, as proposers heard
-  int unequal = 0, ground_beyond = 0;
-  std::uint64_t top_force = 0;
-  Time forced_at = 0;  // when the newest of any broker's `low` rose last
+  // Set by the auditor:
+  // While the lease intervals of two brokers have no version in common:
+  Time contradicted_since = kNever;
+  Time longest_contradiction = 0;
+  std::map<std::uint64_t, std::string> contents;  // by version number, as first applied by any broker
+  std::map<std::uint64_t, std::string> accepted;  // proposal ids by version, as reported to proposers
+  int content_mismatches = 0;
+  int ground_beyond = 0;
+  std::uint64_t highest_active = 0;  // highest lower bound of any lease interval
+  Time activated_at = 0;             // when `highest_active` last rose
 
-  Accords(Seeded& w, int n, int v, const shared_config::Terms& t, double drift = 0)
-      : world(w), terms(t), all(static_cast<std::size_t>(n)), voters(v) {
+  SharedConfigCluster(Seeded& w, int n, int v, const shared_config::Terms& t, double drift = 0)
+      : world(w), terms(t), nodes(static_cast<std::size_t>(n)), voters(v) {
     for (int i = 0; i < v; ++i) terms.voters.push_back(broker(i));
     std::vector<shared_config::RaftMember> first;
     for (int i = 0; i < v; ++i)
       first.push_back({shared_config::initial_voter_id(broker(i)), broker(i), true});
     for (int i = 0; i < n; ++i) {
-      One& o = all[static_cast<std::size_t>(i)];
-      o.rate = 1 + drift * (2 * world.chance.unit() - 1);
-      o.offset = static_cast<Time>(world.chance.below(1000)) * kSecond;
+      Node& o = nodes[static_cast<std::size_t>(i)];
+      o.clock_rate = 1 + drift * (2 * world.chance.unit() - 1);
+      o.clock_offset = static_cast<Time>(world.chance.below(1000)) * kSecond;
       if (i < v) {
         o.store = std::make_unique<InMemoryStore>(shared_config::initial_voter_id(broker(i)));
         shared_config::RaftNode::bootstrap(*o.store, first);
       }
     }
   }
-  Time local(const One& o) const {
-    return o.offset + static_cast<Time>(static_cast<double>(world.now()) * o.rate);
+  Time local_time(const Node& o) const {
+    return o.clock_offset + static_cast<Time>(static_cast<double>(world.now()) * o.clock_rate);
   }
-  Time world_time(const One& o, Time t) const {
-    return static_cast<Time>(static_cast<double>(t - o.offset) / o.rate) + 1;
+  Time world_time(const Node& o, Time t) const {
+    return static_cast<Time>(static_cast<double>(t - o.clock_offset) / o.clock_rate) + 1;
   }
   void start(int i) {
-    One& o = all[static_cast<std::size_t>(i)];
-    terms.life = static_cast<std::uint32_t>(o.life + 1);
-    o.accord = std::make_unique<shared_config::Accord>(terms, broker(i), o.store.get(),
-                                                       shared_config::Rules{}, world.chance.below(1u << 30));
-    o.accord->applied = [this, i](const shared_config::Entry&, const shared_config::Verdict&) { applied(i); };
-    o.runs = true, ++o.life, o.woken_at = kNever;
-    for (int j = 0; j < static_cast<int>(all.size()); ++j) {
-      if (j != i) o.accord->peer(local(o), broker(j), all[static_cast<std::size_t>(j)].runs);
-      if (j != i && all[static_cast<std::size_t>(j)].runs)
-        all[static_cast<std::size_t>(j)].accord->peer(local(all[static_cast<std::size_t>(j)]), broker(i),
-                                                      true);
+    Node& o = nodes[static_cast<std::size_t>(i)];
+    terms.life = static_cast<std::uint32_t>(o.incarnation + 1);
+    o.config_node = std::make_unique<shared_config::Accord>(
+        terms, broker(i), o.store.get(), shared_config::Rules{}, world.chance.below(1u << 30));
+    o.config_node->applied = [this, i](const shared_config::Entry&, const shared_config::Verdict&) {
+      check_applied_versions(i);
+    };
+    o.is_running = true;
+    ++o.incarnation;
+    o.wake_at = kNever;
+    for (int j = 0; j < static_cast<int>(nodes.size()); ++j) {
+      if (j != i)
+        o.config_node->peer(local_time(o), broker(j), nodes[static_cast<std::size_t>(j)].is_running);
+      if (j != i && nodes[static_cast<std::size_t>(j)].is_running)
+        nodes[static_cast<std::size_t>(j)].config_node->peer(local_time(nodes[static_cast<std::size_t>(j)]),
+                                                             broker(i), true);
     }
-    o.accord->start(local(o));
-    turn(i);
+    o.config_node->start(local_time(o));
+    drain(i);
   }
   void start_all() {
-    for (int i = 0; i < static_cast<int>(all.size()); ++i) start(i);
+    for (int i = 0; i < static_cast<int>(nodes.size()); ++i) start(i);
   }
   void kill(int i) {
-    One& o = all[static_cast<std::size_t>(i)];
-    o.runs = false, ++o.life;
-    o.held.clear(), o.paused = false;
-    o.accord.reset();
-    for (One& other : all)
-      if (other.runs) other.accord->peer(local(other), broker(i), false);
+    Node& o = nodes[static_cast<std::size_t>(i)];
+    o.is_running = false;
+    ++o.incarnation;
+    o.held_calls.clear();
+    o.is_paused = false;
+    o.config_node.reset();
+    for (Node& other : nodes)
+      if (other.is_running) other.config_node->peer(local_time(other), broker(i), false);
   }
-  void new_store(int i) {  // its folder is gone: a store of another identity, without a log
-    One& o = all[static_cast<std::size_t>(i)];
+  // Simulates the loss of the folder: the new store has another identity and an empty log.
+  void replace_store(int i) {
+    Node& o = nodes[static_cast<std::size_t>(i)];
     o.store = std::make_unique<InMemoryStore>(1000u + static_cast<unsigned>(i) * 100u +
-                                              static_cast<unsigned>(++o.stores));
+                                              static_cast<unsigned>(++o.stores_created));
   }
-  void pause(int i) { all[static_cast<std::size_t>(i)].paused = true; }
+  void pause(int i) { nodes[static_cast<std::size_t>(i)].is_paused = true; }
   void resume(int i) {
-    One& o = all[static_cast<std::size_t>(i)];
-    o.paused = false;
-    for (auto& what : std::exchange(o.held, {})) what();
+    Node& o = nodes[static_cast<std::size_t>(i)];
+    o.is_paused = false;
+    for (auto& what : std::exchange(o.held_calls, {})) what();
   }
-  void within(int i, int life, const std::function<void(shared_config::Accord&, Time)>& what) {
-    One& o = all[static_cast<std::size_t>(i)];
-    if (!o.runs || o.life != life) return;
-    if (o.paused) {
-      o.held.push_back([this, i, life, what] { within(i, life, what); });
+  // Calls `what` on a running broker, or after `resume` if it is paused. Does nothing if it has restarted.
+  void run_on(int i, int incarnation, const std::function<void(shared_config::Accord&, Time)>& what) {
+    Node& o = nodes[static_cast<std::size_t>(i)];
+    if (!o.is_running || o.incarnation != incarnation) return;
+    if (o.is_paused) {
+      o.held_calls.push_back([this, i, incarnation, what] { run_on(i, incarnation, what); });
       return;
     }
-    what(*o.accord, local(o));
-    turn(i);
+    what(*o.config_node, local_time(o));
+    drain(i);
   }
-  void turn(int i) {
-    One& o = all[static_cast<std::size_t>(i)];
-    if (!o.runs) return;
-    while (auto m = o.accord->send()) {
+  void drain(int i) {
+    Node& o = nodes[static_cast<std::size_t>(i)];
+    if (!o.is_running) return;
+    while (auto m = o.config_node->send()) {
       const int to = std::stoi(m->to.substr(1));
-      const std::size_t size = m->bytes.size() + 90;  // sealed
+      const std::size_t size = m->bytes.size() + 90;  // with the overhead of sealing
       world.carry(i, to, size, [this, i, to, bytes = std::move(m->bytes)] {
-        within(to, all[static_cast<std::size_t>(to)].life, [i, bytes](shared_config::Accord& a, Time now) {
-          accord::wire::Packet p;
-          if (p.ParseFromString(bytes)) a.received(now, broker(i), p);
-        });
+        run_on(to, nodes[static_cast<std::size_t>(to)].incarnation,
+               [i, bytes](shared_config::Accord& a, Time now) {
+                 accord::wire::Packet p;
+                 if (p.ParseFromString(bytes)) a.received(now, broker(i), p);
+               });
       });
     }
-    const Time wake = o.accord->wake();
+    const Time wake = o.config_node->wake();
     if (wake != kNever) {
       const Time at = std::max(world_time(o, wake), world.now());
-      if (at < o.woken_at) {
-        o.woken_at = at;
-        world.at(at, [this, i, at, life = o.life] {
-          One& me = all[static_cast<std::size_t>(i)];
-          if (me.life != life || me.woken_at != at) return;
-          me.woken_at = kNever;
-          within(i, life, [](shared_config::Accord& a, Time now) { a.woken(now); });
+      if (at < o.wake_at) {
+        o.wake_at = at;
+        world.at(at, [this, i, at, incarnation = o.incarnation] {
+          Node& me = nodes[static_cast<std::size_t>(i)];
+          if (me.incarnation != incarnation || me.wake_at != at) return;
+          me.wake_at = kNever;
+          run_on(i, incarnation, [](shared_config::Accord& a, Time now) { a.woken(now); });
         });
       }
     }
-    look();
+    audit();
   }
-  void applied(int i) {
-    const auto* engine =
-        all[static_cast<std::size_t>(i)].accord ? all[static_cast<std::size_t>(i)].accord->engine() : nullptr;
-    if (!engine) return;
-    for (const auto& [n, v] : engine->versions().all()) {
-      const auto [it, fresh] = hashes.try_emplace(n, v.hash + v.id);
-      if (!fresh && it->second != v.hash + v.id) ++unequal;
+  void check_applied_versions(int i) {
+    const auto* raft_node = nodes[static_cast<std::size_t>(i)].config_node
+                                ? nodes[static_cast<std::size_t>(i)].config_node->engine()
+                                : nullptr;
+    if (!raft_node) return;
+    for (const auto& [n, v] : raft_node->versions().all()) {
+      const auto [it, fresh] = contents.try_emplace(n, v.hash + v.id);
+      if (!fresh && it->second != v.hash + v.id) ++content_mismatches;
     }
   }
-  // The auditor: at this moment, do the intervals of all that hold leases meet, and is the ground of all that
-  // hold none within what they act on?
-  void look() {
-    std::uint64_t low = 0, high = UINT64_MAX;
-    for (const One& o : all) {
-      if (!o.runs) continue;
-      const auto& a = *o.accord->acting(local(o));
+  // Checks that the lease intervals of all running brokers have a version in common.
+  void audit() {
+    std::uint64_t low = 0;
+    std::uint64_t high = UINT64_MAX;
+    for (const Node& o : nodes) {
+      if (!o.is_running) continue;
+      const auto& a = *o.config_node->acting(local_time(o));
       if (a.low == 0) continue;
-      low = std::max(low, a.low), high = std::min(high, a.high);
+      low = std::max(low, a.low);
+      high = std::min(high, a.high);
+    }
+    if (low > highest_active) {
+      highest_active = low;
+      activated_at = world.now();
     }
-    if (low > top_force) top_force = low, forced_at = world.now();
-    const bool bad = low > high;
-    if (bad && contradicted_since == kNever) contradicted_since = world.now();
-    if (contradicted_since != kNever) longest = std::max(longest, world.now() - contradicted_since);
-    if (!bad) contradicted_since = kNever;
+    const bool is_contradicted = low > high;
+    if (is_contradicted && contradicted_since == kNever) contradicted_since = world.now();
+    if (contradicted_since != kNever)
+      longest_contradiction = std::max(longest_contradiction, world.now() - contradicted_since);
+    if (!is_contradicted) contradicted_since = kNever;
   }
-  // Slow: rule by rule.
-  bool grounds_hold() const {
-    for (const One& a : all) {
-      if (!a.runs) continue;
-      const auto& mine = *a.accord->acting(local(a));
-      if (mine.low != 0 || !a.accord->ever_answered()) continue;  // it opens its door once it was answered
-      for (const One& b : all) {
-        if (!b.runs) continue;
-        const auto& theirs = *b.accord->acting(local(b));
+  // Checks that the baseline of every broker without a lease lies within every version that another broker
+  // acts on. Slow, since it compares rule by rule.
+  bool baselines_hold() const {
+    for (const Node& a : nodes) {
+      if (!a.is_running) continue;
+      const auto& mine = *a.config_node->acting(local_time(a));
+      if (mine.low != 0 || !a.config_node->ever_answered())
+        continue;  // it serves no clients before the first answer
+      for (const Node& b : nodes) {
+        if (!b.is_running) continue;
+        const auto& theirs = *b.config_node->acting(local_time(b));
         if (theirs.low != 0 && theirs.low == theirs.high &&
             !shared_config::within(*mine.rules, *theirs.rules))
           return false;
@@ -226,18 +252,19 @@
     return true;
   }
   int leader() const {
-    for (int i = 0; i < static_cast<int>(all.size()); ++i) {
-      const One& o = all[static_cast<std::size_t>(i)];
-      if (o.runs && !o.paused && o.accord->engine() && o.accord->engine()->is_leader()) return i;
+    for (int i = 0; i < static_cast<int>(nodes.size()); ++i) {
+      const Node& o = nodes[static_cast<std::size_t>(i)];
+      if (o.is_running && !o.is_paused && o.config_node->engine() && o.config_node->engine()->is_leader())
+        return i;
     }
     return -1;
   }
-  // All that run hold a lease on one version and nothing else.
-  bool settled(std::uint64_t least = 1) const {
+  // True if all running brokers hold leases on one and the same version, which is at least `least`.
+  bool is_settled(std::uint64_t least = 1) const {
     std::uint64_t n = 0;
-    for (const One& o : all) {
-      if (!o.runs) continue;
-      const auto& a = *o.accord->acting(local(o));
+    for (const Node& o : nodes) {
+      if (!o.is_running) continue;
+      const auto& a = *o.config_node->acting(local_time(o));
       if (a.low == 0 || a.low != a.high || a.low < least || (n && a.low != n)) return false;
       n = a.low;
     }
@@ -247,10 +274,14 @@
                std::function<void(const std::optional<shared_config::Verdict>&)> done = {}) {
     shared_config::Entry e;
     e.kind = ground ? shared_config::Entry::Kind::propose_ground : shared_config::Entry::Kind::propose;
-    e.id = id, e.text = rules, e.who = "operator", e.why = "test", e.base = base;
-    within(by, all[static_cast<std::size_t>(by)].life, [&](shared_config::Accord& a, Time now) {
+    e.id = id;
+    e.text = rules;
+    e.who = "operator";
+    e.why = "test";
+    e.base = base;
+    run_on(by, nodes[static_cast<std::size_t>(by)].incarnation, [&](shared_config::Accord& a, Time now) {
       a.propose(now, e, [this, done, ground, id](const std::optional<shared_config::Verdict>& v) {
-        if (v && v->number && !ground) told[v->number] = id;
+        if (v && v->number && !ground) accepted[v->number] = id;
         if (done) done(v);
       });
     });
--- a/tests/golden/raft.cpp
+++ b/tests/golden/raft.cpp
@@ -1,5 +1,4 @@
-// Messages of the consensus library, in our form: each type with all fields set, and each as an engine says
-// it.
+// Golden bytes of the Raft messages: each type with all fields set, and each type as RaftNode encodes it.
 #include "cluster/shared_config_cluster.h"
 #include "golden/golden.h"
 #include "golden/version.h"
@@ -13,10 +12,10 @@
 using accord::wire::Packet;
 using accord::wire::Raft;
 
-constexpr std::uint32_t kAppendEntries = 1;  // types of the library's messages
+constexpr std::uint32_t kAppendEntries = 1;  // libraft's message types
 constexpr std::uint32_t kInstallSnapshot = 5;
 constexpr std::uint32_t kTypes = 6;
-constexpr std::uint32_t kCommand = 1;  // of its entries
+constexpr std::uint32_t kCommand = 1;  // libraft's entry type for proposals
 
 Packet packet_of(std::uint32_t type) {
   Packet packet;
@@ -61,140 +60,140 @@
   EXPECT_EQ(message.data(), "state");
 }
 
-// Three voters in one place, without loss or delay; the last may be cut off. Notes what they say.
-class Voters {
+// Three voters that exchange messages without loss or delay; one may be cut off. Records their messages.
+class VoterGroup {
  public:
-  Voters() {
-    shared_config::RaftSettings terms;
-    terms.snapshot_threshold = 5;
-    terms.snapshot_trailing = 1;
+  VoterGroup() {
+    shared_config::RaftSettings settings;
+    settings.snapshot_threshold = 5;
+    settings.snapshot_trailing = 1;
     std::vector<shared_config::RaftMember> voters;
     for (const char* name : kNames) {
       voters.push_back({shared_config::initial_voter_id(name), name, true});
     }
-    // A log that is longer than terms are many: no two numbers in a message are the same.
+    // The log is longer than the number of terms, so that indices and terms in a message differ.
     const std::vector<shared_config::LogEntry> earlier(
         4, {1, kCommand, shared_config::encode(shared_config::Entry())});
     for (const shared_config::RaftMember& voter : voters) {
       stores_.push_back(std::make_unique<cluster::InMemoryStore>(voter.id));
       shared_config::RaftNode::bootstrap(*stores_.back(), voters);
       stores_.back()->append(2, earlier);
-      engines_.push_back(
-          std::make_unique<shared_config::RaftNode>(terms, voter.name, *stores_.back(), voter.id, nullptr));
-      engines_.back()->start(now_);
+      nodes_.push_back(std::make_unique<shared_config::RaftNode>(settings, voter.name, *stores_.back(),
+                                                                 voter.id, nullptr));
+      nodes_.back()->start(now_);
     }
   }
 
-  // Election, entries, one voter behind by more than the log holds, hand-over of the lead.
-  const std::map<std::uint32_t, std::string>& play() {
-    play_until([&] { return leader() >= 0; });
-    cut_off_ = (leader() + 1) % kVoters;
+  // Covers an election, appended entries, a voter that needs a snapshot, and a transfer of leadership.
+  const std::map<std::uint32_t, std::string>& run() {
+    run_until([&] { return leader() >= 0; });
+    isolated_ = (leader() + 1) % kVoters;
     for (int number = 0; number < 10; ++number) {
       propose_two(number);
-      play_for(kTicksBetween);
+      run_for(kTicksBetween);
     }
-    cut_off_ = kNobody;
-    play_until([&] { return said_.count(kInstallSnapshot) > 0; });
-    play_for(kTicksBetween);
+    isolated_ = kNone;
+    run_until([&] { return messages_.count(kInstallSnapshot) > 0; });
+    run_for(kTicksBetween);
     const int before = leader();
-    engines_[static_cast<std::size_t>(before)]->transfer_leadership(now_);
-    play_until([&] { return leader() >= 0 && leader() != before; });
-    return said_;
+    nodes_[static_cast<std::size_t>(before)]->transfer_leadership(now_);
+    run_until([&] { return leader() >= 0 && leader() != before; });
+    return messages_;
   }
 
  private:
   static constexpr int kVoters = 3;
-  static constexpr int kNobody = -1;
+  static constexpr int kNone = -1;
   static constexpr int kTicksBetween = 10;
-  static constexpr int kTicksAtMost = 1000;
+  static constexpr int kMaxTicks = 1000;
   static constexpr const char* kNames[kVoters] = {"b0", "b1", "b2"};
 
   int leader() const {
     for (int at = 0; at < kVoters; ++at) {
-      if (engines_[static_cast<std::size_t>(at)]->is_leader()) {
+      if (nodes_[static_cast<std::size_t>(at)]->is_leader()) {
         return at;
       }
     }
-    return kNobody;
+    return kNone;
   }
 
-  // Two at once: the second goes out while the first is not committed.
+  // Proposes two entries at once, so that the second is sent before the first is committed.
   void propose_two(int number) {
     for (const char* which : {"first-", "second-"}) {
       shared_config::Entry entry;
       entry.kind = shared_config::Entry::Kind::enlist;
       entry.name = which + std::to_string(number);
-      EXPECT_TRUE(engines_[static_cast<std::size_t>(leader())]->propose(now_, entry, nullptr));
+      EXPECT_TRUE(nodes_[static_cast<std::size_t>(leader())]->propose(now_, entry, nullptr));
     }
-    deliver();
+    deliver_all();
   }
 
-  void play_for(int ticks) {
+  void run_for(int ticks) {
     for (int tick = 0; tick < ticks; ++tick) {
       now_ += shared_config::RaftSettings{}.tick_interval;
-      for (const auto& engine : engines_) {
-        engine->tick(now_);
-        deliver();
+      for (const auto& node : nodes_) {
+        node->tick(now_);
+        deliver_all();
       }
     }
   }
 
   template <class Condition>
-  void play_until(Condition held) {
-    for (int ticks = 0; ticks < kTicksAtMost && !held(); ++ticks) {
-      play_for(1);
+  void run_until(Condition is_reached) {
+    for (int ticks = 0; ticks < kMaxTicks && !is_reached(); ++ticks) {
+      run_for(1);
     }
-    ASSERT_TRUE(held());
+    ASSERT_TRUE(is_reached());
   }
 
-  void deliver() {
+  void deliver_all() {
     for (bool is_any = true; is_any;) {
       is_any = false;
       for (int from = 0; from < kVoters; ++from) {
-        while (const auto message = engines_[static_cast<std::size_t>(from)]->take_message()) {
+        while (const auto message = nodes_[static_cast<std::size_t>(from)]->take_message()) {
           is_any = true;
-          carry(from, *message);
+          deliver_one(from, *message);
         }
       }
     }
   }
 
-  void carry(int from, const shared_config::RaftNode::Outgoing& message) {
+  void deliver_one(int from, const shared_config::RaftNode::Outgoing& message) {
     const int to = message.to.back() - '0';
     Packet packet;
     ASSERT_TRUE(packet.ParseFromString(message.bytes));
-    note(packet.raft(), message.bytes);
-    if (from == cut_off_ || to == cut_off_) {
+    record(packet.raft(), message.bytes);
+    if (from == isolated_ || to == isolated_) {
       return;
     }
-    engines_[static_cast<std::size_t>(to)]->handle_message(now_, kNames[from], packet.raft());
+    nodes_[static_cast<std::size_t>(to)]->handle_message(now_, kNames[from], packet.raft());
   }
 
-  // The first of each type; of entries the first that is an entry of ours, as the library leaves a barrier's
-  // bytes as they stood in memory, and whose numbers differ.
-  void note(const Raft& message, const std::string& bytes) {
+  // Records the first message of each type. An append-entries message must hold one command, since libraft
+  // leaves the bytes of a barrier entry uninitialized, and its index and terms must differ.
+  void record(const Raft& message, const std::string& bytes) {
     const bool is_ours = message.entry_size() == 1 && message.entry(0).type() == kCommand;
-    const bool is_telling = is_ours && message.a() != message.b() && message.a() != message.c();
-    if (message.type() != kAppendEntries || is_telling) {
-      said_.emplace(message.type(), bytes);
+    const bool has_distinct_numbers = is_ours && message.a() != message.b() && message.a() != message.c();
+    if (message.type() != kAppendEntries || has_distinct_numbers) {
+      messages_.emplace(message.type(), bytes);
     }
   }
 
   Time now_ = 0;
-  int cut_off_ = kNobody;
+  int isolated_ = kNone;
   std::vector<std::unique_ptr<cluster::InMemoryStore>> stores_;
-  std::vector<std::unique_ptr<shared_config::RaftNode>> engines_;
-  std::map<std::uint32_t, std::string> said_;
+  std::vector<std::unique_ptr<shared_config::RaftNode>> nodes_;
+  std::map<std::uint32_t, std::string> messages_;
 };
 
-// What an engine says, understood here: the others take it, or the play ends early.
-std::string as_said(std::uint32_t type) {
-  static const std::map<std::uint32_t, std::string> said = Voters().play();
-  const auto found = said.find(type);
-  return found == said.end() ? "" : found->second;
+// Returns the recorded message; empty if none. The other voters must have accepted it, or the run ends early.
+std::string recorded_message(std::uint32_t type) {
+  static const std::map<std::uint32_t, std::string> messages = VoterGroup().run();
+  const auto found = messages.find(type);
+  return found == messages.end() ? "" : found->second;
 }
 
-void expect_as_said(const std::string& bytes, std::uint32_t type) {
+void expect_recorded_message(const std::string& bytes, std::uint32_t type) {
   Packet packet;
   ASSERT_TRUE(packet.ParseFromString(bytes));
   EXPECT_EQ(packet.raft().type(), type);
@@ -209,8 +208,8 @@
     const std::string number = std::to_string(type);
     all.push_back({"raft.all_fields." + number, [type] { return packet_of(type).SerializeAsString(); },
                    [type](const std::string& bytes) { expect_packet(bytes, type); }});
-    all.push_back({"raft.as_said." + number, [type] { return as_said(type); },
-                   [type](const std::string& bytes) { expect_as_said(bytes, type); }});
+    all.push_back({"raft.as_said." + number, [type] { return recorded_message(type); },
+                   [type](const std::string& bytes) { expect_recorded_message(bytes, type); }});
   }
   return all;
 }
