--- a/src/cluster/admin_api.cpp
+++ b/src/cluster/admin_api.cpp
@@ -125,7 +125,7 @@
 std::string AdminApi::status_json() const {
   const auto status = node_.shared_config_node()->status(now());
   json voters = json::array();
-  for (const auto& voter : status.voters) voters.push_back({{"name", voter.name}, {"votes", voter.votes}});
+  for (const auto& voter : status.voters) voters.push_back({{"name", voter.name}, {"votes", voter.is_voter}});
   return to_text(
       {{"name", node_.options().name},
        {"acts_on", status.active_config.low
--- a/src/cluster/cluster_node.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -53,9 +53,9 @@
   // Elections take a small share of the stated time, so that the first commits after an election fit into it
   // as well.
   const Time ms = kSecond / 1000;
-  terms.raft.election = std::clamp<Time>(options.stated / 8, 60 * ms, 300 * ms);
-  terms.raft.heartbeat = terms.raft.election / 5;
-  terms.raft.tick = std::max<Time>(5 * ms, terms.raft.election / 15);
+  terms.raft.election_timeout = std::clamp<Time>(options.stated / 8, 60 * ms, 300 * ms);
+  terms.raft.heartbeat_interval = terms.raft.election_timeout / 5;
+  terms.raft.tick_interval = std::max<Time>(5 * ms, terms.raft.election_timeout / 15);
   return terms;
 }
 
@@ -121,7 +121,7 @@
       std::string damaged_store;
       std::uint64_t id;
       randombytes_buf(&id, sizeof id);
-      store_ = shared_config::Kept::open(options.accord->folder, id >> 1 | 1, &damaged_store);
+      store_ = shared_config::SqliteStore::open(options.accord->folder, id >> 1 | 1, &damaged_store);
       if (!damaged_store.empty()) {
         log("accord", "the store is damaged: renamed to %s; this broker joins again with an empty store",
             damaged_store.c_str());
@@ -133,7 +133,7 @@
         std::make_shared<maintenance::JobQueue>());
     std::string text;
     std::uint64_t number = 0;
-    if (store_ && store_->ground(text, number)) {
+    if (store_ && store_->baseline(text, number)) {
       shared_config::Version saved;
       saved_baseline_ = number;
       saved.number = number;
@@ -402,7 +402,7 @@
   const bool is_newer = baseline.number > saved_baseline_ && !next;
   saved_baseline_ = std::max(saved_baseline_, baseline.number);
   saved_next_baseline_ = next;
-  if (store_) store_->keep_ground(shared_config::canonical_text(holder.baseline_rules()), baseline.number);
+  if (store_) store_->save_baseline(shared_config::canonical_text(holder.baseline_rules()), baseline.number);
   if (is_newer && event_log_) event_log_->record_event("keeps").with("ground", baseline.number);
 }
 
@@ -473,7 +473,7 @@
   const std::string bytes = kZoneReportMessage + zone_failover::encode(*report);
   for (const auto& name : to) send_to(name, bytes);
   const auto* engine = config_node_->raft_node();
-  if (!engine || !engine->leads()) return zone_failover_->stop_leading();
+  if (!engine || !engine->is_leader()) return zone_failover_->stop_leading();
   if (auto entry = zone_failover_->propose_change(at, engine->versions())) {
     log("zones", "%s", entry->why.c_str());
     if (event_log_)
--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -122,7 +122,7 @@
   std::unique_ptr<EventLog> event_log_;
   membership::SwimMembership membership_;
   shared_config::EndpointGossip gossip_;
-  std::unique_ptr<shared_config::Kept> store_;
+  std::unique_ptr<shared_config::SqliteStore> store_;
   std::unique_ptr<shared_config::SharedConfigNode> config_node_;
   transport::Transport transport_;
   Timer timer_;
--- a/src/cluster/maintenance_agent.cpp
+++ b/src/cluster/maintenance_agent.cpp
@@ -87,7 +87,7 @@
       it->second.capacity_per_second = explanation.health.capacity_per_second;
     }
   }
-  status.voters = config_node_.raft_node()->voting();
+  status.voters = config_node_.raft_node()->voter_names();
   return status;
 }
 
@@ -108,7 +108,7 @@
     for (const auto& endpoint : acting.rules->endpoints_in_maintenance)
       message.open_attempts->by_endpoint[endpoint] = hooks.drain_endpoint(endpoint);
     if (config_node_.leader() == options_.name ||
-        (config_node_.raft_node() && config_node_.raft_node()->leads()))
+        (config_node_.raft_node() && config_node_.raft_node()->is_leader()))
       controller_.record_report(now, options_.name, std::move(*message.open_attempts));
     else if (!config_node_.leader().empty())
       send_(config_node_.leader(), encode_message(message));
@@ -117,12 +117,12 @@
   const auto* jobs = job_queue();
   if (!engine || !jobs) return;
   config_node_.set_retiring_brokers(controller_.retiring_brokers(*jobs));
-  if (!engine->leads()) return controller_.stop_leading();
+  if (!engine->is_leader()) return controller_.stop_leading();
   if (revision == 0) return;  // no endpoint list has arrived yet
   maintenance::LeaderView view;
   view.fleet_status = fleet_status(now, listed, revision);
   view.leases = config_node_.lease_manager().brokers();
-  view.voters = engine->voting();
+  view.voters = engine->voter_names();
   for (const auto* member : membership_.members().live()) view.live_brokers.insert(member->update.name);
   auto entry = controller_.next_entry(now, wall_now(), engine->versions(), view);
   for (const auto& broker : controller_.brokers_to_stop()) {
--- a/src/shared_config/shared_config_node.cpp
+++ b/src/shared_config/shared_config_node.cpp
@@ -16,7 +16,7 @@
 }  // namespace
 
 SharedConfigNode::SharedConfigNode(const SharedConfigSettings& settings, const std::string& self,
-                                   Store* store, RuleSet baseline, std::uint64_t seed,
+                                   DurableStore* store, RuleSet baseline, std::uint64_t seed,
                                    std::shared_ptr<const ReplicatedStateMachine> state_machine)
     : settings_(settings),
       self_(self),
@@ -24,7 +24,7 @@
       lease_client_(settings.lease, std::move(baseline), settings.incarnation),
       lease_manager_(settings.lease) {
   if (store)
-    raft_node_ = std::make_unique<Engine>(
+    raft_node_ = std::make_unique<RaftNode>(
         settings.raft, self, *store, seed + 1,
         [this](const ConfigEntry& e, const ApplyResult& v) {
           if (on_applied) on_applied(e, v);
@@ -55,7 +55,7 @@
 void SharedConfigNode::handle_wake(Time now) {
   if (!started_ || leaving_) return;
   if (raft_node_ && now >= next_tick_) {
-    next_tick_ = now + settings_.raft.tick;
+    next_tick_ = now + settings_.raft.tick_interval;
     raft_node_->tick(now);
   }
   if (now >= lease_client_.next_wake()) request_lease(now);
@@ -84,9 +84,9 @@
 
 void SharedConfigNode::request_lease(Time now) {
   LeaseRequest request = lease_client_.make_request(now);
-  request.may_vote = raft_node_ && !raft_node_->broken();
+  request.may_vote = raft_node_ && !raft_node_->has_failed();
   request.voter_id = request.may_vote ? raft_node_->id() : 0;
-  if (raft_node_ && raft_node_->leads()) return handle_lease_request(now, self_, request);
+  if (raft_node_ && raft_node_->is_leader()) return handle_lease_request(now, self_, request);
   if (raft_node_ && !raft_node_->leader().empty() && raft_node_->leader() != self_)
     leader_ = raft_node_->leader();
   if (leader_ == self_ || ++unanswered_requests_ > kMaxUnansweredRequests) leader_.clear();
@@ -125,7 +125,7 @@
   accord::wire::Packet p;
   p.mutable_confirm()->set_term(raft_node_->term());
   p.mutable_confirm()->set_round(*round);
-  for (const auto& name : raft_node_->voting())
+  for (const auto& name : raft_node_->voter_names())
     if (name != self_) post(name, p);
   lease_manager_.handle_confirmation(now, self_, raft_node_->term(), *round, raft_node_->versions());
 }
@@ -142,17 +142,17 @@
   w.set_low(g.low);
   w.set_high(g.high);
   w.set_term(g.term);
-  for (const Version& v : g.versions) put(v, *w.add_version());
-  if (g.baseline) put(*g.baseline, *w.mutable_ground());
-  if (g.next_baseline) put(*g.next_baseline, *w.mutable_ground_next());
+  for (const Version& v : g.versions) to_proto(v, *w.add_version());
+  if (g.baseline) to_proto(*g.baseline, *w.mutable_ground());
+  if (g.next_baseline) to_proto(*g.next_baseline, *w.mutable_ground_next());
   post(to, p);
 }
 
 void SharedConfigNode::handle_message(Time now, const std::string& from, const accord::wire::Packet& p) {
   if (!started_ || leaving_) return;
-  if (p.has_raft() && raft_node_) raft_node_->received(now, from, p.raft());
+  if (p.has_raft() && raft_node_) raft_node_->handle_message(now, from, p.raft());
   if (p.has_ask()) {
-    if (raft_node_ && raft_node_->leads()) {
+    if (raft_node_ && raft_node_->is_leader()) {
       handle_lease_request(now, from,
                            {p.ask().sequence(), p.ask().taken(), p.ask().have(), p.ask().ground(),
                             p.ask().settled(), p.ask().may_vote(), p.ask().bye(), p.ask().voter_id()});
@@ -183,12 +183,12 @@
       g.term = w.term();
       bool is_valid = w.high() >= w.low() && w.high() - w.low() <= VersionHistory::kMaxPendingVersions;
       for (const auto& v : w.version()) {
-        auto version = take(v);
+        auto version = from_proto(v);
         is_valid = is_valid && version;
         if (version) g.versions.push_back(std::move(*version));
       }
-      if (w.has_ground()) is_valid = is_valid && (g.baseline = take(w.ground()));
-      if (w.has_ground_next()) is_valid = is_valid && (g.next_baseline = take(w.ground_next()));
+      if (w.has_ground()) is_valid = is_valid && (g.baseline = from_proto(w.ground()));
+      if (w.has_ground_next()) is_valid = is_valid && (g.next_baseline = from_proto(w.ground_next()));
       if (is_valid && lease_client_.handle_grant(now, g)) {
         leader_ = from;
         unanswered_requests_ = 0;
@@ -196,7 +196,7 @@
       }
     }
   }
-  if (p.has_confirm() && raft_node_ && !raft_node_->broken()) {
+  if (p.has_confirm() && raft_node_ && !raft_node_->has_failed()) {
     if (p.confirm().back()) {
       lease_manager_.handle_confirmation(now, from, p.confirm().term(), p.confirm().round(),
                                          raft_node_->versions());
@@ -208,9 +208,10 @@
   }
   if (p.has_proposal()) {
     const auto e = decode_entry(p.proposal().entry());
-    if (e && raft_node_ && raft_node_->leads()) {
+    if (e && raft_node_ && raft_node_->is_leader()) {
       raft_node_->propose(now, *e, [this, from, id = e->id](const std::optional<ApplyResult>& v) {
         if (!v) return;  // the entry may or may not be committed: the proposer repeats it
+
         accord::wire::Packet back;
         back.mutable_verdict()->set_id(id);
         back.mutable_verdict()->set_number(v->number);
@@ -254,7 +255,7 @@
     }
     if (now < p.next_try) continue;
     p.next_try = now + settings_.lease.retry_interval();
-    if (raft_node_ && raft_node_->leads()) {
+    if (raft_node_ && raft_node_->is_leader()) {
       const std::string id = p.entry.id;
       const ConfigEntry entry = p.entry;  // the element may move while it is proposed
       raft_node_->propose(now, entry, [this, id](const std::optional<ApplyResult>& v) {
@@ -274,7 +275,7 @@
 
 // Does the leader's work: starts its term, puts versions and baselines into effect, announces changes.
 void SharedConfigNode::do_leader_work(Time now) {
-  const bool leads = raft_node_ && raft_node_->leads();
+  const bool leads = raft_node_ && raft_node_->is_leader();
   if (!leads) {
     if (was_leader_) {
       lease_manager_.stop_leading();
@@ -292,10 +293,10 @@
     activation_in_progress_ = false;
     baseline_activation_in_progress_ = false;
     announced_versions_ = raft_node_->versions().newest();
-    lease_manager_.start_term(now, led_term_, raft_node_->voting(), self_);
+    lease_manager_.start_term(now, led_term_, raft_node_->voter_names(), self_);
     lease_client_.request_soon(now);
   }
-  lease_manager_.set_voters(raft_node_->voting());
+  lease_manager_.set_voters(raft_node_->voter_names());
   const VersionHistory& versions = raft_node_->versions();
   if (const auto n = lease_manager_.activatable_version(now, versions); n && !activation_in_progress_) {
     ConfigEntry e;
@@ -333,11 +334,11 @@
 // Replaces lost and retiring voters by other brokers that may vote, one change at a time. The new voter joins
 // before the old one is removed, so that a replacement never reduces the number of voters in between.
 void SharedConfigNode::repair_voters(Time now) {
-  if (raft_node_->changing()) return;
-  const auto voters = raft_node_->voters();
+  if (raft_node_->has_change_in_progress()) return;
+  const auto voters = raft_node_->members();
   std::size_t voting = 0;
-  std::vector<const Voter*> lost;
-  for (const Voter& v : voters) {
+  std::vector<const RaftMember*> lost;
+  for (const RaftMember& v : voters) {
     if (v.name == self_ && v.id == raft_node_->id()) {
       ++voting;
       continue;
@@ -347,7 +348,8 @@
         held != lease_manager_.brokers().end() && held->second.voter_id != 0 && held->second.voter_id != v.id;
     const auto dead = dead_since_.find(v.name);
     const bool gone = dead != dead_since_.end() && now - dead->second >= settings_.voter_replacement_delay;
-    if (!v.votes) {  // a new voter that is still catching up
+    if (!v.is_voter) {  // a new voter that is still catching up
+
       if (other_store || gone)
         raft_node_->remove_voter(now, v.id);
       else
@@ -358,7 +360,7 @@
     if (other_store || gone || retiring_.count(v.name)) lost.push_back(&v);
   }
   if (retiring_.count(self_) && voting > 1) {
-    raft_node_->hand_over(now);
+    raft_node_->transfer_leadership(now);
     return;
   }
   if (lost.empty()) return;
@@ -370,7 +372,7 @@
   for (const auto& [name, held] : lease_manager_.brokers()) {
     if (!held.may_vote || held.voter_id == 0 || !held.has_lease(now) || retiring_.count(name)) continue;
     const auto id = held.voter_id;
-    if (std::any_of(voters.begin(), voters.end(), [id](const Voter& v) { return v.id == id; })) continue;
+    if (std::any_of(voters.begin(), voters.end(), [id](const RaftMember& v) { return v.id == id; })) continue;
     raft_node_->add_voter(now, id, name);
     return;
   }
@@ -382,11 +384,11 @@
     const auto before = out_.size();
     const auto answers_before = has_leader_answered_;
     if (raft_node_) {
-      raft_node_->turn(now);
+      raft_node_->run_callbacks(now);
       do_leader_work(now);
-      if (was_leader_ && raft_node_->leads()) start_confirmation_round(now);
+      if (was_leader_ && raft_node_->is_leader()) start_confirmation_round(now);
       for (auto& g : lease_manager_.take_grants()) send_grant(now, g.to, g.grant);
-      while (auto o = raft_node_->send()) out_.push_back({o->to, std::move(o->bytes)});
+      while (auto o = raft_node_->take_message()) out_.push_back({o->to, std::move(o->bytes)});
     }
     if (!leaving_ && now >= lease_client_.next_wake()) request_lease(now);
     forward_proposals(now);
@@ -406,9 +408,9 @@
 
 void SharedConfigNode::leave(Time now) {
   if (!started_ || leaving_) return;
-  if (raft_node_ && raft_node_->leads()) {
+  if (raft_node_ && raft_node_->is_leader()) {
     lease_manager_.release(self_);
-    raft_node_->hand_over(now);
+    raft_node_->transfer_leadership(now);
   } else if (!leader_.empty()) {
     accord::wire::Packet p;
     p.mutable_ask()->set_bye(true);
@@ -432,7 +434,7 @@
   SharedConfigStatus s;
   s.active_config = *lease_client_.active_config(now);
   s.lease_remaining = std::max<Time>(0, lease_client_.lease_expires_at() - now);
-  s.leader = raft_node_ && raft_node_->leads()             ? self_
+  s.leader = raft_node_ && raft_node_->is_leader()         ? self_
              : raft_node_ && !raft_node_->leader().empty() ? raft_node_->leader()
                                                            : leader_;
   s.newest_held = lease_client_.newest_version();
@@ -440,12 +442,12 @@
   s.next_baseline = lease_client_.next_baseline() ? lease_client_.next_baseline()->number : 0;
   if (raft_node_) {
     s.term = raft_node_->term();
-    s.is_leader = raft_node_->leads();
-    s.has_store_failed = raft_node_->broken();
+    s.is_leader = raft_node_->is_leader();
+    s.has_store_failed = raft_node_->has_failed();
     s.newest = raft_node_->versions().newest();
     s.in_force = raft_node_->versions().in_force();
-    s.voters = raft_node_->voters();
-    for (const Voter& v : s.voters) s.is_voter = s.is_voter || (v.id == raft_node_->id() && v.votes);
+    s.voters = raft_node_->members();
+    for (const RaftMember& v : s.voters) s.is_voter = s.is_voter || (v.id == raft_node_->id() && v.is_voter);
     if (s.is_leader) {
       s.brokers_delaying_version = lease_manager_.brokers_delaying_version(now, raft_node_->versions());
       s.brokers_delaying_baseline = lease_manager_.brokers_delaying_baseline(raft_node_->versions());
--- a/src/shared_config/shared_config_node.h
+++ b/src/shared_config/shared_config_node.h
@@ -28,7 +28,7 @@
 // Settings of a SharedConfigNode.
 struct SharedConfigSettings {
   LeaseSettings lease;
-  EngineTerms raft;
+  RaftSettings raft;
   std::vector<std::string> voters;              // as configured; the first to be asked for the leader
   Time voter_replacement_delay = 30 * kSecond;  // a voter that is lost for so long is replaced
   Time proposal_timeout = 10 * kSecond;         // a proposal without an answer is given up
@@ -50,7 +50,7 @@
   // Set only if this broker runs a Raft node:
   std::uint64_t newest = 0;
   std::uint64_t in_force = 0;
-  std::vector<Voter> voters;
+  std::vector<RaftMember> voters;
   // Set only at the leader: the brokers that delay the newest version or the next baseline.
   std::vector<std::string> brokers_delaying_version;
   std::vector<std::string> brokers_delaying_baseline;
@@ -61,7 +61,7 @@
  public:
   // `store`: null for a broker that never votes. `baseline`: used until a stored or received one
   // replaces it. `state_machine`: the initial state of the additional state machine, if the log drives one.
-  SharedConfigNode(const SharedConfigSettings& settings, const std::string& self, Store* store,
+  SharedConfigNode(const SharedConfigSettings& settings, const std::string& self, DurableStore* store,
                    RuleSet baseline, std::uint64_t seed,
                    std::shared_ptr<const ReplicatedStateMachine> state_machine = nullptr);
   ~SharedConfigNode();
@@ -107,7 +107,7 @@
   // The last known leader; empty: unknown.
   const std::string& leader() const { return leader_; }
   // Null if this broker has no store.
-  const Engine* raft_node() const { return raft_node_.get(); }
+  const RaftNode* raft_node() const { return raft_node_.get(); }
   SharedConfigStatus status(Time now) const;
   // Called for each entry that the log applies here. Optional.
   std::function<void(const ConfigEntry&, const ApplyResult&)> on_applied;
@@ -135,7 +135,7 @@
   std::string self_;
   Chance random_;
   LeaseClient lease_client_;
-  std::unique_ptr<Engine> raft_node_;
+  std::unique_ptr<RaftNode> raft_node_;
   LeaseManager lease_manager_;
   std::string leader_;           // last known
   int unanswered_requests_ = 0;  // since the leader last answered
--- a/src/shared_config/version_history.cpp
+++ b/src/shared_config/version_history.cpp
@@ -224,10 +224,10 @@
 
 std::string VersionHistory::snapshot() const {
   accord::wire::State s;
-  for (const auto& [n, v] : versions_) put(v, *s.add_version());
+  for (const auto& [n, v] : versions_) to_proto(v, *s.add_version());
   s.set_in_force(in_force_);
-  put(baseline_, *s.mutable_ground());
-  if (next_baseline_) put(*next_baseline_, *s.mutable_ground_next());
+  to_proto(baseline_, *s.mutable_ground());
+  if (next_baseline_) to_proto(*next_baseline_, *s.mutable_ground_next());
   for (const auto& name : enrolled_brokers_) s.add_roster(name);
   s.set_zones_from(zone_shares_version_);
   s.set_works_from(maintenance_version_);
@@ -255,20 +255,21 @@
   VersionHistory read(state_machine_);
   read.versions_.clear();
   for (const auto& v : s.version()) {
-    auto version = take(v);
+    auto version = from_proto(v);
     if (!version) return false;
     read.versions_[version->number] = std::move(*version);
   }
   read.in_force_ = s.in_force();
-  auto baseline = take(s.ground());
+  auto baseline = from_proto(s.ground());
   if (!baseline || !read.versions_.count(read.in_force_)) return false;
   read.baseline_ = std::move(*baseline);
-  if (s.has_ground_next() && !(read.next_baseline_ = take(s.ground_next()))) return false;
+  if (s.has_ground_next() && !(read.next_baseline_ = from_proto(s.ground_next()))) return false;
   read.enrolled_brokers_ = {s.roster().begin(), s.roster().end()};
   read.zone_shares_version_ = s.zones_from();
   read.maintenance_version_ = s.works_from();
   read.baseline_maintenance_version_ = s.ground_works_from();
-  // Older releases didn't record these fields: the newest version and the baseline stand in for them.
+  // Older releases didn't record these fields: the newest version and the
+  // baseline stand in for them.
   read.settings_version_ = s.has_settings_from() ? s.settings_from() : read.newest();
   read.baseline_settings_version_ =
       s.has_ground_settings_from() ? s.ground_settings_from() : read.baseline_.number;
