--- a/bench/phases.cpp
+++ b/bench/phases.cpp
@@ -36,13 +36,13 @@
   return p;
 }
 std::size_t limit_of(const benchmark::State& s) {
-  return s.range(1) < 0 ? kAll : static_cast<std::size_t>(s.range(1));
+  return s.range(1) < 0 ? kUnlimited : static_cast<std::size_t>(s.range(1));
 }
 
 void by_threshold(benchmark::State& s) {
   const auto all = lists(static_cast<std::size_t>(s.range(0)));
   const auto p = pointers(all);
-  for (auto _ : s) benchmark::DoNotOptimize(rank(p, limit_of(s)));
+  for (auto _ : s) benchmark::DoNotOptimize(merge_top_k(p, limit_of(s)));
 }
 void by_sort(benchmark::State& s) {
   const auto all = lists(static_cast<std::size_t>(s.range(0)));
@@ -67,7 +67,7 @@
   const std::string v = value(static_cast<std::size_t>(s.range(0)));
   for (auto _ : s) {
     MatchList m;
-    if (read_match(v, 100000, nullptr, m)) s.SkipWithError("spoilt");
+    if (parse_match(v, 100000, nullptr, m)) s.SkipWithError("spoilt");
   }
   s.SetBytesProcessed(static_cast<std::int64_t>(s.iterations() * v.size()));
 }
@@ -76,27 +76,27 @@
 // A whole two-phase multiget of so many blocks with one match each; an event is a value or a round's end.
 void plan(benchmark::State& s) {
   const int blocks = static_cast<int>(s.range(0));
-  Planner planner({});
+  QueryPlanner planner({});
   const std::string match = value(1), fetch = R"({"version":"1","stalls":[{"stall":"stall-0","detail":{}}]})";
   std::int64_t events = 0;
   for (auto _ : s) {
     two_phase::Query q;
     for (int b = 0; b < blocks; ++b) q.blocks.push_back({b, 1.0 / blocks});
-    q.left = kSecond, q.limit = 10;
-    Plan p(planner, std::move(q), 0);
+    q.time_left = kSecond, q.limit = 10;
+    QueryPlan p(planner, std::move(q), 0);
     std::vector<int> fetches;
     const auto pull = [&] {
-      while (const auto d = p.next(1000))
-        if (d->kind == Decision::Kind::ask && d->round > 0) fetches.push_back(d->round);
+      while (const auto d = p.next_decision(1000))
+        if (d->kind == Decision::Kind::kRunRound && d->round > 0) fetches.push_back(d->round);
     };
     pull();
-    for (int b = 0; b < blocks; ++b) p.came(0, b, match), pull(), ++events;
-    p.round_ended(1000, 0, RoundEnd::whole, 0), pull(), ++events;
+    for (int b = 0; b < blocks; ++b) p.record_value(0, b, match), pull(), ++events;
+    p.record_round_result(1000, 0, RoundResult::kComplete, 0), pull(), ++events;
     for (std::size_t i = 0; i < fetches.size(); ++i) {
-      p.came(fetches[i], p.round(fetches[i]).blocks[0], fetch), pull(), ++events;
-      p.round_ended(1000, fetches[i], RoundEnd::whole, 0), pull(), ++events;
+      p.record_value(fetches[i], p.round(fetches[i]).blocks[0], fetch), pull(), ++events;
+      p.record_round_result(1000, fetches[i], RoundResult::kComplete, 0), pull(), ++events;
     }
-    if (!p.ended()) s.SkipWithError("not ended");
+    if (!p.has_ended()) s.SkipWithError("not ended");
   }
   s.counters["an_event"] = benchmark::Counter(static_cast<double>(events),
                                               benchmark::Counter::kIsRate | benchmark::Counter::kInvert);
--- a/fuzz/readers.cpp
+++ b/fuzz/readers.cpp
@@ -65,14 +65,14 @@
     }
     case 5: {
       two_phase::MatchList list;
-      if (two_phase::read_match(text, 8, nullptr, list)) break;
+      if (two_phase::parse_match(text, 8, nullptr, list)) break;
       must(list.entries.size() <= 8 && list.entries.size() <= list.total);
       for (std::size_t i = 0; i < list.entries.size(); ++i) must(!list.id(i).empty());
       break;
     }
     default: {
-      two_phase::Details d;
-      if (two_phase::read_details(text, {"a", "b"}, "1", d)) break;
+      two_phase::FetchedDetails d;
+      if (two_phase::parse_details(text, {"a", "b"}, "1", d)) break;
       for (const auto& [stall, detail] : d.stalls) must(json::parse(detail).is_object());
     }
   }
--- a/src/dispatch/two_phase_runner.cpp
+++ b/src/dispatch/two_phase_runner.cpp
@@ -9,7 +9,7 @@
 
 // A request class with two phases, and the classes under which the policy knows its rounds.
 struct TwoPhaseRunner::ClassState {
-  two_phase::Planner planner;
+  two_phase::QueryPlanner planner;
   int match_class;
   int rematch_class;
   int fetch_class;
@@ -21,7 +21,7 @@
   std::string name;
   bool is_client_retry = false;
   std::unique_ptr<TwoPhaseCallbacks> callbacks;
-  two_phase::Plan plan;
+  two_phase::QueryPlan plan;
   std::vector<Request*> round_requests;  // by round; null once ended
   std::size_t memory_bytes = 0;          // as accounted for in the requests in flight
   Time wakes_at = kNever;
@@ -39,38 +39,38 @@
                                  [&](const auto& candidate) { return candidate.get() == &shard_request; });
     const int block =
         running_.plan.round(round_).blocks[static_cast<std::size_t>(it - shard_requests.begin())];
-    const char* fault = running_.plan.came(round_, block, value);
+    const char* fault = running_.plan.record_value(round_, block, value);
     runner_.update_memory(running_);
     runner_.enqueue(running_);
     if (fault) log("phases", "%s: %s", shard_request.name.c_str(), fault);
     return fault ? ValueUse::kInvalid : ValueUse::kTaken;
   }
   void on_response(const Request& request, bool is_complete) override {
-    end_round(request, is_complete ? two_phase::RoundEnd::whole : two_phase::RoundEnd::in_part, 0);
+    end_round(request, is_complete ? two_phase::RoundResult::kComplete : two_phase::RoundResult::kPartial, 0);
   }
   void on_rejected(const Request& request, Time retry_after) override {
     const bool was_sent =
         std::any_of(request.shard_requests.begin(), request.shard_requests.end(),
                     [](const auto& shard_request) { return !shard_request->attempts.empty(); });
-    end_round(request, was_sent ? two_phase::RoundEnd::failed : two_phase::RoundEnd::pushed_back,
+    end_round(request, was_sent ? two_phase::RoundResult::kFailed : two_phase::RoundResult::kRejected,
               retry_after);
   }
-  void on_failed(const Request& request) override { end_round(request, two_phase::RoundEnd::failed, 0); }
+  void on_failed(const Request& request) override { end_round(request, two_phase::RoundResult::kFailed, 0); }
 
   // Tells the plan which blocks a match round was sent to: shard requests that weren't drawn stay unsent.
   static void report_sent(RunningQuery& running, int round_index, const Request& request) {
     const two_phase::Round& round = running.plan.round(round_index);
-    if (round.kind != two_phase::RoundKind::match) return;
+    if (round.kind != two_phase::RoundKind::kMatch) return;
     for (std::size_t i = 0; i < request.shard_requests.size(); ++i) {
-      if (!request.shard_requests[i]->attempts.empty()) running.plan.sent(round.blocks[i]);
+      if (!request.shard_requests[i]->attempts.empty()) running.plan.record_sent(round.blocks[i]);
     }
   }
 
  private:
-  void end_round(const Request& request, two_phase::RoundEnd end, Time retry_after) {
+  void end_round(const Request& request, two_phase::RoundResult end, Time retry_after) {
     report_sent(running_, round_, request);
     running_.round_requests[round_] = nullptr;
-    running_.plan.round_ended(now(), round_, end, retry_after);
+    running_.plan.record_round_result(now(), round_, end, retry_after);
     runner_.enqueue(running_);
   }
   TwoPhaseRunner& runner_;
@@ -97,13 +97,13 @@
 TwoPhaseRunner::~TwoPhaseRunner() = default;
 
 void TwoPhaseRunner::add_class(int request_class, const RequestClass& definition,
-                               const two_phase::Terms& terms) {
+                               const two_phase::PlanOptions& terms) {
   // Each round has a time limit of its own that ends it; until then a late response is worth as much.
   RequestClass round_class = definition;
   round_class.late_value_share = 1;
   round_class.request_timeout = 0;  // a round with little time left is not the retry of a client
   round_class.second_step_shard_requests = 0;
-  classes_[request_class] = std::make_unique<ClassState>(ClassState{two_phase::Planner(terms), 0, 0, 0});
+  classes_[request_class] = std::make_unique<ClassState>(ClassState{two_phase::QueryPlanner(terms), 0, 0, 0});
   ClassState& state = *classes_[request_class];
   const auto add_round_class = [&](const RequestClass& added) {
     policy_.add_request_class(added);
@@ -136,14 +136,14 @@
                                             std::unique_ptr<TwoPhaseCallbacks> callbacks) {
   const QueryId id = ++last_id_;
   ClassState& state = *classes_.at(request_class);
-  auto running =
-      std::make_unique<RunningQuery>(RunningQuery{id,
-                                                  state,
-                                                  name,
-                                                  is_client_retry,
-                                                  std::move(callbacks),
-                                                  two_phase::Plan(state.planner, std::move(query), now()),
-                                                  {}});
+  auto running = std::make_unique<RunningQuery>(
+      RunningQuery{id,
+                   state,
+                   name,
+                   is_client_retry,
+                   std::move(callbacks),
+                   two_phase::QueryPlan(state.planner, std::move(query), now()),
+                   {}});
   names_.insert(name);
   update_memory(*running);
   enqueue(*(running_[id] = std::move(running)));
@@ -157,7 +157,7 @@
 
 // The memory of plans counts towards the memory limit of the requests in flight.
 void TwoPhaseRunner::update_memory(RunningQuery& running) {
-  const std::size_t before = std::exchange(running.memory_bytes, running.plan.bytes());
+  const std::size_t before = std::exchange(running.memory_bytes, running.plan.memory_bytes());
   requests_.adjust_memory(before, running.memory_bytes);
 }
 
@@ -173,11 +173,11 @@
 
 void TwoPhaseRunner::advance(RunningQuery& running) {
   running.is_queued = false;
-  while (const auto decision = running.plan.next(now())) {
-    if (decision->kind != two_phase::Decision::Kind::ask) return finish(running, *decision);
+  while (const auto decision = running.plan.next_decision(now())) {
+    if (decision->kind != two_phase::Decision::Kind::kRunRound) return finish(running, *decision);
     start_round(running, decision->round);
   }
-  set_wake_up(running, running.plan.due(now()));
+  set_wake_up(running, running.plan.next_wake_up(now()));
 }
 
 // Sets the query's only wake-up. kNever: none.
@@ -193,16 +193,16 @@
 void TwoPhaseRunner::start_round(RunningQuery& running, int round_index) {
   const two_phase::Round& round = running.plan.round(round_index);
   const ClassState& state = running.class_state;
-  const bool is_match = round.kind == two_phase::RoundKind::match;
+  const bool is_match = round.kind == two_phase::RoundKind::kMatch;
   auto request = std::make_unique<Request>();
   request->name = running.name + "/" + std::to_string(round_index);
   while (requests_.contains(request->name)) request->name += '\'';  // a client may have chosen the same name
   request->body = running.plan.take_text(round_index);
-  request->request_class = is_match                                    ? state.match_class
-                           : round.kind == two_phase::RoundKind::again ? state.rematch_class
-                                                                       : state.fetch_class;
+  request->request_class = is_match                                          ? state.match_class
+                           : round.kind == two_phase::RoundKind::kMatchAgain ? state.rematch_class
+                                                                             : state.fetch_class;
   request->is_client_retry = running.is_client_retry && is_match;
-  request->time_left = round.span;
+  request->time_left = round.time_limit;
   request->max_value_bytes = SIZE_MAX;  // the plan takes the values, and the memory limit applies to it
   for (const int block : round.blocks) {
     auto shard_request = std::make_unique<ShardRequest>();
@@ -225,10 +225,10 @@
     }
   }
   const auto callbacks = std::move(running.callbacks);
-  if (decision.kind == two_phase::Decision::Kind::answer) {
-    callbacks->on_response(running.plan, decision.whole);
+  if (decision.kind == two_phase::Decision::Kind::kRespond) {
+    callbacks->on_response(running.plan, decision.is_complete);
   } else {
-    callbacks->on_rejected(decision.span);
+    callbacks->on_rejected(decision.retry_after);
   }
   const auto kept = std::move(running_.extract(running.id).mapped());
   stop(*kept);
--- a/src/dispatch/two_phase_runner.h
+++ b/src/dispatch/two_phase_runner.h
@@ -22,7 +22,7 @@
 class TwoPhaseCallbacks {
  public:
   virtual ~TwoPhaseCallbacks() = default;
-  virtual void on_response(const two_phase::Plan& plan, bool is_complete) = 0;
+  virtual void on_response(const two_phase::QueryPlan& plan, bool is_complete) = 0;
   // A retry is harmless. @param retry_after 0: no advice
   virtual void on_rejected(Time retry_after) = 0;
 };
@@ -38,7 +38,7 @@
 
   // Allows two-phase queries of a request class. Call it once for each such class, after the settings' own
   // classes have been added. The class must allow retries: a plan may query a shard again.
-  void add_class(int request_class, const RequestClass& definition, const two_phase::Terms& terms);
+  void add_class(int request_class, const RequestClass& definition, const two_phase::PlanOptions& terms);
   // Tightens a class, as RequestPolicy::limit_request_class() does.
   void limit_class(int request_class, const RequestClassLimits& limits);
   bool is_allowed(int request_class) const {
--- a/src/frontend/two_phase/two_phase_frontend.cpp
+++ b/src/frontend/two_phase/two_phase_frontend.cpp
@@ -11,21 +11,21 @@
 
 using nlohmann::ordered_json;
 
-ordered_json phase_json(const cairnhub::two_phase::Report::Phase& phase) {
+ordered_json phase_json(const cairnhub::two_phase::QueryReport::Phase& phase) {
   return {{"asked", phase.asked},
           {"answered", phase.answered},
           {"missing", phase.missing},
-          {"whole", phase.whole}};
+          {"whole", phase.is_complete}};
 }
 
 // Responds to a two-phase query in JSON. Details are inserted as the bytes that endpoints returned.
 class JsonCallbacks : public dispatch::TwoPhaseCallbacks {
  public:
   explicit JsonCallbacks(std::unique_ptr<dispatch::Responder> responder) : responder_(std::move(responder)) {}
-  void on_response(const cairnhub::two_phase::Plan& plan, bool is_complete) override {
-    const cairnhub::two_phase::Report report = plan.report();
+  void on_response(const cairnhub::two_phase::QueryPlan& plan, bool is_complete) override {
+    const cairnhub::two_phase::QueryReport report = plan.report();
     ordered_json head{{"whole", is_complete},
-                      {"why", report.why},
+                      {"why", report.incomplete_reasons},
                       {"match", phase_json(report.match)},
                       {"fetch", phase_json(report.fetch)}};
     head["match"]["blocks"] = report.blocks;
@@ -43,7 +43,7 @@
     body.back() = ',';
     body += "\"stalls\":[";
     bool is_first = true;
-    plan.each_stall([&](int shard, const std::string& id, double score, std::string_view detail) {
+    plan.for_each_stall([&](int shard, const std::string& id, double score, std::string_view detail) {
       if (!std::exchange(is_first, false)) body += ',';
       body += ordered_json{{"block", shard}, {"stall", id}, {"score", score}}.dump();
       if (detail.empty()) return;
@@ -122,7 +122,7 @@
   } else if (request_parser_.is_full()) {
     responder->respond(503, "", "too many in hand\n");
   } else {
-    query.left = request.time_left;
+    query.time_left = request.time_left;
     return runner_.start(request.name, request.request_class, request.is_client_retry, std::move(query),
                          std::make_unique<JsonCallbacks>(std::move(responder)));
   }
--- a/src/options/options.cpp
+++ b/src/options/options.cpp
@@ -54,16 +54,16 @@
   out.line = at.line;
   out.name = m.name();
   if (out.name.empty()) at.complain("name", "is missing; allowed is the name of an op type");
-  two_phase::Terms& t = out.terms;
-  t.match_share = at.within("match_share", m.match_share(), 0.05, 0.95);
-  t.shortest_fetch = ms(at.within("shortest_fetch_ms", m.shortest_fetch_ms(), 1U, 60000U));
-  t.spare = ms(at.within("spare_ms", m.spare_ms(), 0U, 10000U));
-  t.rematches = static_cast<int>(at.within("rematches", m.rematches(), 0U, 10U));
+  two_phase::PlanOptions& t = out.terms;
+  t.initial_match_share = at.within("match_share", m.match_share(), 0.05, 0.95);
+  t.initial_min_fetch_time = ms(at.within("shortest_fetch_ms", m.shortest_fetch_ms(), 1U, 60000U));
+  t.reserved_time = ms(at.within("spare_ms", m.spare_ms(), 0U, 10000U));
+  t.max_rematches_per_block = static_cast<int>(at.within("rematches", m.rematches(), 0U, 10U));
   t.rematch_share = at.within("rematch_share", m.rematch_share(), 0.0, 1.0);
-  t.page_most = at.within("page_most", m.page_most(), 1U, 100000U);
-  t.fetch_most = at.within("fetch_most", m.fetch_most(), 1U, 10000U);
-  t.stalls_most = at.within("stalls_most", m.stalls_most(), 1U, 1000000U);
-  t.learns = m.learn_split(), t.prunes_by_score = m.prune_by_score();
+  t.max_page_size = at.within("page_most", m.page_most(), 1U, 100000U);
+  t.max_fetch_size = at.within("fetch_most", m.fetch_most(), 1U, 10000U);
+  t.max_stalls = at.within("stalls_most", m.stalls_most(), 1U, 1000000U);
+  t.learns_time_split = m.learn_split(), t.prunes_by_score = m.prune_by_score();
   return out;
 }
 
@@ -349,11 +349,11 @@
     if (op.idempotency != Idempotency::kIdempotent)
       complain("is '" + p.name + "', which is not retriable; allowed is an op type that may be asked again");
     Phased& mine = out.emplace_back(Phased{static_cast<int>(i), op, p.terms});
-    two_phase::Terms& t = mine.terms;
-    t.need = op.required_share, t.least = op.min_response_share;
-    t.partial = op.min_response_share < op.required_share && op.partial_value_share > 0;
-    t.latency_budget = op.latency_objective, t.late_earns = op.late_value_share > 0;
-    t.come_back = longest_wait;
+    two_phase::PlanOptions& t = mine.terms;
+    t.required_share = op.required_share, t.min_response_share = op.min_response_share;
+    t.allows_partial_response = op.min_response_share < op.required_share && op.partial_value_share > 0;
+    t.latency_objective = op.latency_objective, t.has_late_value = op.late_value_share > 0;
+    t.retry_after = longest_wait;
   }
   return out;
 }
--- a/src/options/options.h
+++ b/src/options/options.h
@@ -14,7 +14,7 @@
 
 struct PhasedOpType {
   std::string name;
-  two_phase::Terms terms;  // need, least and budgets come from the platform's settings
+  two_phase::PlanOptions terms;  // need, least and budgets come from the platform's settings
   int line = 0;
 };
 
@@ -97,7 +97,7 @@
 struct Phased {
   int op_type;
   RequestClass op;
-  two_phase::Terms terms;
+  two_phase::PlanOptions terms;
 };
 std::vector<Phased> resolve(const Options& options, const settings::Settings& settings);
 
--- a/src/server/broker.h
+++ b/src/server/broker.h
@@ -32,7 +32,7 @@
 struct TwoPhaseClass {
   int request_class;
   RequestClass definition;
-  two_phase::Terms terms;
+  two_phase::PlanOptions terms;
 };
 
 // Options that the operator states in addition to the platform's settings.
--- a/src/two_phase/host_messages.cpp
+++ b/src/two_phase/host_messages.cpp
@@ -72,7 +72,7 @@
 };
 
 bool plain_id(std::string_view id) {
-  if (id.empty() || id.size() > kLongestId) return false;
+  if (id.empty() || id.size() > kMaxIdBytes) return false;
   for (const char c : id)
     if (static_cast<unsigned char>(c) < ' ') return false;
   return true;
@@ -104,7 +104,7 @@
   }
   bool string(string_t& v) override {
     if (depth == 1 && key_now == 0) {
-      if (v.empty() || v.size() > kLongestVersion) return no("a version of no possible length");
+      if (v.empty() || v.size() > kMaxVersionBytes) return no("a version of no possible length");
       return into.version = v, true;
     }
     if (depth != 3 || item++ != 0) return no("a text out of place");
@@ -117,7 +117,7 @@
     return true;
   }
   bool boolean(bool v) override {
-    return depth == 1 && key_now == 2 ? into.more = v, true : no("a truth value out of place");
+    return depth == 1 && key_now == 2 ? into.has_more = v, true : no("a truth value out of place");
   }
   bool count(std::uint64_t v) override {
     return depth == 1 && key_now == 1 ? into.total = v, true : number(static_cast<double>(v));
@@ -125,17 +125,18 @@
   bool number(double v) override {
     if (depth != 3 || item++ != 1) return no("a number out of place");
     if (!std::isfinite(v)) return no("a score is not a number");
-    Entry& e = into.entries.back();
+    MatchEntry& e = into.entries.back();
     e.score = v == 0 ? 0 : v;  // a minus zero ranks as zero
     if (const std::size_t n = into.entries.size(); n > 1)
-      if (const Entry& b = into.entries[n - 2]; !before(b.score, into.id(n - 2), e.score, into.id(n - 1)))
+      if (const MatchEntry& b = into.entries[n - 2];
+          !before(b.score, into.id(n - 2), e.score, into.id(n - 1)))
         return no("matches out of order");
     return true;
   }
 };
 
 struct DetailReader : Strict {
-  Details& into;
+  FetchedDetails& into;
   const std::size_t& read;  // bytes so far
   const std::set<std::string>& asked;
   Keys<2> keys{{"version", "stalls"}}, stall_keys{{"stall", "detail"}};
@@ -144,7 +145,7 @@
   std::size_t detail_from = 0;
   std::string stall;
   std::string_view detail;
-  DetailReader(Details& d, const std::size_t& r, const std::set<std::string>& a)
+  DetailReader(FetchedDetails& d, const std::size_t& r, const std::set<std::string>& a)
       : into(d), read(r), asked(a) {}
 
   static constexpr int kDeepest =
@@ -185,7 +186,7 @@
   bool string(string_t& v) override {
     if (inside()) return true;
     if (depth == 1 && key_now == 0) {
-      if (v.empty() || v.size() > kLongestVersion) return no("a version of no possible length");
+      if (v.empty() || v.size() > kMaxVersionBytes) return no("a version of no possible length");
       return into.version = v, true;
     }
     return depth == 3 && stall_key == 0 ? stall = v, true : no("a text out of place");
@@ -203,16 +204,17 @@
 
 }  // namespace
 
-bool MatchList::join(const MatchList& next) {
+bool MatchList::append_page(const MatchList& next) {
   if (next.version != version || next.total != total) return false;
   const auto base = static_cast<std::uint32_t>(ids.size());
   ids += next.ids;
-  for (Entry e : next.entries) e.at += base, entries.push_back(e);
-  more = next.more;
-  return more ? entries.size() < total : entries.size() == total;
+  for (MatchEntry e : next.entries) e.id_offset += base, entries.push_back(e);
+  has_more = next.has_more;
+  return has_more ? entries.size() < total : entries.size() == total;
 }
 
-const char* read_match(std::string_view value, std::size_t page, const Place* after, MatchList& into) {
+const char* parse_match(std::string_view value, std::size_t page, const RankPosition* after,
+                        MatchList& into) {
   MatchReader reader(into, page);
   std::size_t read = 0;
   if (const char* wrong = parse(value, read, reader)) return wrong;
@@ -221,17 +223,17 @@
   if (after) {
     if (n > 0 && !before(after->score, after->id, into.entries[0].score, into.id(0)))
       return "a further page that doesn't follow";
-  } else if (into.more != (n < into.total)) {
+  } else if (into.has_more != (n < into.total)) {
     return "its total and what is left don't agree";
   }
   // Danger: pages that never come to an end, or come one stall at a time.
-  if (into.more && n < page) return "a page not full with more to come";
+  if (into.has_more && n < page) return "a page not full with more to come";
   into.ids.shrink_to_fit(), into.entries.shrink_to_fit();
   return nullptr;
 }
 
-const char* read_details(std::string_view value, const std::set<std::string>& asked, std::string_view version,
-                         Details& into) {
+const char* parse_details(std::string_view value, const std::set<std::string>& asked,
+                          std::string_view version, FetchedDetails& into) {
   into.value = std::make_shared<const std::string>(value);
   std::size_t read = 0;
   DetailReader reader(into, read, asked);
--- a/src/two_phase/host_messages.h
+++ b/src/two_phase/host_messages.h
@@ -19,16 +19,16 @@
 
 namespace cairnhub::two_phase {
 
-constexpr std::size_t kLongestId = 128, kLongestVersion = 64;
+constexpr std::size_t kMaxIdBytes = 128, kMaxVersionBytes = 64;
 
-struct Entry {  // 16 bytes: a block may list tens of thousands
+struct MatchEntry {  // 16 bytes: a block may list tens of thousands
   double score;
-  std::uint32_t at;  // of its id, in the list's bytes
-  std::uint16_t length;
+  std::uint32_t id_offset;  // of its id, in the list's bytes
+  std::uint16_t id_length;
 };
 
 // Where a stall stands within its block.
-struct Place {
+struct RankPosition {
   double score = 0;
   std::string id;
 };
@@ -37,27 +37,29 @@
 struct MatchList {
   std::string version;
   std::uint64_t total = 0;
-  bool more = false;
+  bool has_more = false;
   std::string ids;
-  std::vector<Entry> entries;
+  std::vector<MatchEntry> entries;
 
-  std::string_view id(std::size_t i) const { return {ids.data() + entries[i].at, entries[i].length}; }
-  std::size_t bytes() const { return ids.capacity() + entries.capacity() * sizeof(Entry); }
-  Place last() const { return {entries.back().score, std::string(id(entries.size() - 1))}; }
+  std::string_view id(std::size_t i) const {
+    return {ids.data() + entries[i].id_offset, entries[i].id_length};
+  }
+  std::size_t bytes() const { return ids.capacity() + entries.capacity() * sizeof(MatchEntry); }
+  RankPosition last() const { return {entries.back().score, std::string(id(entries.size() - 1))}; }
   // The next page of the same version. False where it doesn't follow: the two can't both be true.
-  bool join(const MatchList& next);
+  bool append_page(const MatchList& next);
 };
 
 // `page`: how many were asked for at the most; `after`: the place they must rank after, or null.
-const char* read_match(std::string_view value, std::size_t page, const Place* after, MatchList& into);
+const char* parse_match(std::string_view value, std::size_t page, const RankPosition* after, MatchList& into);
 
-struct Details {
+struct FetchedDetails {
   std::string version;
   std::shared_ptr<const std::string> value;  // the bytes as they came; the views are into it
   std::map<std::string, std::string_view> stalls;
 };
 // `asked`: each must be there where the version is `version`, none other may be.
-const char* read_details(std::string_view value, const std::set<std::string>& asked, std::string_view version,
-                         Details& into);
+const char* parse_details(std::string_view value, const std::set<std::string>& asked,
+                          std::string_view version, FetchedDetails& into);
 
 }  // namespace cairnhub::two_phase
--- a/src/two_phase/time_split.cpp
+++ b/src/two_phase/time_split.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-std::optional<Time> Recent::quantile(double q) const {
+std::optional<Time> RecentDurations::quantile(double q) const {
   const std::size_t n = std::min(count_, kKept);
   if (n < kEnough) return std::nullopt;
   std::vector<Time> sorted(spans_.begin(), spans_.begin() + static_cast<std::ptrdiff_t>(n));
@@ -26,13 +26,14 @@
   return *at;
 }
 
-std::size_t Split::size_class(std::size_t blocks) {
+std::size_t TimeSplit::size_class(std::size_t blocks) {
   return std::min<std::size_t>(std::bit_width(std::max<std::size_t>(blocks, 1)) - 1, kClasses - 1);
 }
 
 // Of the class itself, else of the nearest one of which enough is known: what three blocks take says more of
 // four than a guess does.
-std::optional<Time> Split::known(const std::array<Recent, kClasses>& of, std::size_t blocks, double q) const {
+std::optional<Time> TimeSplit::known(const std::array<RecentDurations, kClasses>& of, std::size_t blocks,
+                                     double q) const {
   if (!learns_) return std::nullopt;
   const std::size_t own = size_class(blocks);
   for (std::size_t off = 0; off < kClasses; ++off) {
@@ -44,7 +45,7 @@
   return std::nullopt;
 }
 
-Time Split::first_share(std::size_t blocks, Time whole) const {
+Time TimeSplit::match_time(std::size_t blocks, Time whole) const {
   const auto match = known(matches_, blocks, kMostTake), fetch = known(fetches_, blocks, kMostTake);
   double share = stated_;
   if (match && fetch && *match + *fetch > 0)
@@ -52,13 +53,13 @@
   return part(share, whole);
 }
 
-Time Split::usual_fetch(std::size_t blocks, Time whole) const {
+Time TimeSplit::typical_fetch_time(std::size_t blocks, Time whole) const {
   return known(fetches_, blocks, 0.5).value_or(part((1 - stated_) / 2, whole));
 }
-Time Split::usual_match(std::size_t blocks, Time whole) const {
+Time TimeSplit::typical_match_time(std::size_t blocks, Time whole) const {
   return known(matches_, blocks, 0.5).value_or(part(stated_ / 2, whole));
 }
-Time Split::least_fetch(std::size_t blocks) const {
+Time TimeSplit::min_fetch_time(std::size_t blocks) const {
   return known(finished_, blocks, 0.1).value_or(shortest_);
 }
 
--- a/src/two_phase/time_split.h
+++ b/src/two_phase/time_split.h
@@ -13,7 +13,7 @@
 
 namespace cairnhub::two_phase {
 
-class Recent {
+class RecentDurations {
  public:
   static constexpr std::size_t kKept = 64, kEnough = 8;
   void add(Time span) { spans_[count_++ % kKept] = span; }
@@ -24,35 +24,37 @@
   std::size_t count_ = 0;
 };
 
-class Split {
+class TimeSplit {
  public:
   // `stated`: the share of the time that is the first phase's until enough is known; `shortest`: no second
   // phase is begun with less left, as long as nothing is known.
-  Split(double stated, Time shortest, bool learns) : stated_(stated), shortest_(shortest), learns_(learns) {}
+  TimeSplit(double stated, Time shortest, bool learns)
+      : stated_(stated), shortest_(shortest), learns_(learns) {}
 
-  void match_took(std::size_t blocks, Time span) { matches_[size_class(blocks)].add(span); }
-  void fetch_took(std::size_t blocks, Time span, bool finished) {
+  void record_match(std::size_t blocks, Time span) { matches_[size_class(blocks)].add(span); }
+  void record_fetch(std::size_t blocks, Time span, bool finished) {
     fetches_[size_class(blocks)].add(span);
     if (finished) finished_[size_class(blocks)].add(span);
   }
 
   // Of `whole`, what the first phase may take: both phases get the same multiple of what nine in ten take.
-  Time first_share(std::size_t blocks, Time whole) const;
+  Time match_time(std::size_t blocks, Time whole) const;
   // What a second phase of so many blocks usually takes; of `whole`, where nothing is known.
-  Time usual_fetch(std::size_t blocks, Time whole) const;
-  Time usual_match(std::size_t blocks, Time whole) const;
+  Time typical_fetch_time(std::size_t blocks, Time whole) const;
+  Time typical_match_time(std::size_t blocks, Time whole) const;
   // With less time left than the quickest tenth took, it can't finish.
-  Time least_fetch(std::size_t blocks) const;
+  Time min_fetch_time(std::size_t blocks) const;
 
  private:
   static constexpr std::size_t kClasses = 17;
   static std::size_t size_class(std::size_t blocks);
-  std::optional<Time> known(const std::array<Recent, kClasses>& of, std::size_t blocks, double q) const;
+  std::optional<Time> known(const std::array<RecentDurations, kClasses>& of, std::size_t blocks,
+                            double q) const;
 
   double stated_;
   Time shortest_;
   bool learns_;
-  std::array<Recent, kClasses> matches_, fetches_, finished_;
+  std::array<RecentDurations, kClasses> matches_, fetches_, finished_;
 };
 
 }  // namespace cairnhub::two_phase
--- a/src/two_phase/top_k_merge.cpp
+++ b/src/two_phase/top_k_merge.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-bool before(const std::vector<const MatchList*>& lists, Survivor a, Survivor b) {
+bool before(const std::vector<const MatchList*>& lists, RankedMatch a, RankedMatch b) {
   const MatchList &in_a = *lists[a.block], &in_b = *lists[b.block];
   const double x = in_a.entries[a.entry].score, y = in_b.entries[b.entry].score;
   if (x != y) return x > y;
@@ -16,17 +16,17 @@
 
 }  // namespace
 
-Ranked rank(const std::vector<const MatchList*>& lists, std::size_t limit) {
-  Ranked found;
-  std::vector<Survivor> heads;  // a heap of each block's next one, the best on top
+TopMatches merge_top_k(const std::vector<const MatchList*>& lists, std::size_t limit) {
+  TopMatches found;
+  std::vector<RankedMatch> heads;  // a heap of each block's next one, the best on top
   for (std::uint32_t b = 0; b < lists.size(); ++b)
     if (lists[b] && !lists[b]->entries.empty()) heads.push_back({b, 0});
-  const auto worse = [&](Survivor a, Survivor b) { return before(lists, b, a); };
+  const auto worse = [&](RankedMatch a, RankedMatch b) { return before(lists, b, a); };
   std::make_heap(heads.begin(), heads.end(), worse);
-  while (!heads.empty() && found.survivors.size() < limit) {
+  while (!heads.empty() && found.matches.size() < limit) {
     std::pop_heap(heads.begin(), heads.end(), worse);
-    Survivor& best = heads.back();
-    found.survivors.push_back(best);
+    RankedMatch& best = heads.back();
+    found.matches.push_back(best);
     const MatchList& list = *lists[best.block];
     if (best.entry + 1 < list.entries.size()) {
       ++best.entry;
@@ -34,19 +34,21 @@
       continue;
     }
     // Its unseen ones rank after this one, and from here on any of them could.
-    if (list.more && found.survivors.size() < limit)
-      found.wanting.push_back({best.block, limit == kAll ? kAll : limit - found.survivors.size()});
+    if (list.has_more && found.matches.size() < limit)
+      found.unfinished_lists.push_back(
+          {best.block, limit == kUnlimited ? kUnlimited : limit - found.matches.size()});
     heads.pop_back();
   }
-  std::sort(found.wanting.begin(), found.wanting.end(), [](auto& a, auto& b) { return a.block < b.block; });
+  std::sort(found.unfinished_lists.begin(), found.unfinished_lists.end(),
+            [](auto& a, auto& b) { return a.block < b.block; });
   return found;
 }
 
-std::vector<Survivor> sort_all(const std::vector<const MatchList*>& lists, std::size_t limit) {
-  std::vector<Survivor> all;
+std::vector<RankedMatch> sort_all(const std::vector<const MatchList*>& lists, std::size_t limit) {
+  std::vector<RankedMatch> all;
   for (std::uint32_t b = 0; b < lists.size(); ++b)
     for (std::uint32_t e = 0; lists[b] && e < lists[b]->entries.size(); ++e) all.push_back({b, e});
-  std::sort(all.begin(), all.end(), [&](Survivor a, Survivor b) { return before(lists, a, b); });
+  std::sort(all.begin(), all.end(), [&](RankedMatch a, RankedMatch b) { return before(lists, a, b); });
   if (all.size() > limit) all.resize(limit);
   return all;
 }
--- a/src/two_phase/top_k_merge.h
+++ b/src/two_phase/top_k_merge.h
@@ -18,25 +18,25 @@
 
 namespace cairnhub::two_phase {
 
-constexpr std::size_t kAll = SIZE_MAX;
+constexpr std::size_t kUnlimited = SIZE_MAX;
 
-struct Survivor {
+struct RankedMatch {
   std::uint32_t block;  // its place among the lists
   std::uint32_t entry;  // in its block's list
 };
-struct Wanting {
+struct UnfinishedList {
   std::uint32_t block;
-  std::size_t most;  // so many of its unseen ones could enter
+  std::size_t max_missing;  // so many of its unseen ones could enter
 };
-struct Ranked {
-  std::vector<Survivor> survivors;  // best first
-  std::vector<Wanting> wanting;     // in order of block; empty: the survivors are final
+struct TopMatches {
+  std::vector<RankedMatch> matches;              // best first
+  std::vector<UnfinishedList> unfinished_lists;  // in order of block; empty: the survivors are final
 };
 
-// Null for a block of which nothing is known: it takes no part. `limit`: N, or kAll.
-Ranked rank(const std::vector<const MatchList*>& lists, std::size_t limit);
+// Null for a block of which nothing is known: it takes no part. `limit`: N, or kUnlimited.
+TopMatches merge_top_k(const std::vector<const MatchList*>& lists, std::size_t limit);
 
-// The plain way, to compare with: all entries together, sorted. The same survivors.
-std::vector<Survivor> sort_all(const std::vector<const MatchList*>& lists, std::size_t limit);
+// The plain way, to compare with: all entries together, sorted. The same matches.
+std::vector<RankedMatch> sort_all(const std::vector<const MatchList*>& lists, std::size_t limit);
 
 }  // namespace cairnhub::two_phase
--- a/tests/phases.cpp
+++ b/tests/phases.cpp
@@ -68,11 +68,11 @@
 // One schedule.
 struct Run {
   std::mt19937 rng;
-  Planner planner;
+  QueryPlanner planner;
   Time now = 0;
   int k;
   std::vector<int> version;  // the hosts' present one
-  std::unique_ptr<Plan> plan;
+  std::unique_ptr<QueryPlan> plan;
   two_phase::Query query;
   struct Out {
     int round, block;
@@ -82,18 +82,19 @@
   std::set<std::tuple<int, std::string, std::string>> got;  // block, version, stall: details in hand
   std::set<int> changed;  // blocks that have answered at another version than their matches'
   int answers = 0;
-  Decision last{Decision::Kind::ask};
+  Decision last{Decision::Kind::kRunRound};
   Time end = 0;
   bool first_whole = false;
 
   explicit Run(std::uint32_t seed) : rng(seed), planner(terms()) {}
   bool chance(std::uint32_t one_in) { return rng() % one_in == 0; }
-  Terms terms() {
-    Terms t;
-    t.need = chance(2) ? 1 : 0.5, t.least = t.need * (chance(2) ? 1 : 0.5), t.partial = t.least < t.need;
-    t.late_earns = chance(2), t.page_most = 1 + rng() % 8, t.fetch_most = 1 + rng() % 5;
-    t.stalls_most = 3 + rng() % 200, t.rematches = static_cast<int>(rng() % 4);
-    t.learns = chance(2), t.prunes_by_score = !chance(4);
+  PlanOptions terms() {
+    PlanOptions t;
+    t.required_share = chance(2) ? 1 : 0.5, t.min_response_share = t.required_share * (chance(2) ? 1 : 0.5),
+    t.allows_partial_response = t.min_response_share < t.required_share;
+    t.has_late_value = chance(2), t.max_page_size = 1 + rng() % 8, t.max_fetch_size = 1 + rng() % 5;
+    t.max_stalls = 3 + rng() % 200, t.max_rematches_per_block = static_cast<int>(rng() % 4);
+    t.learns_time_split = chance(2), t.prunes_by_score = !chance(4);
     return t;
   }
 
@@ -102,23 +103,23 @@
   }
 
   void pull() {
-    while (const auto d = plan->next(now)) {
+    while (const auto d = plan->next_decision(now)) {
       ++seen.events;
       check(answers == 0, "a decision after the final answer");
-      if (d->kind != Decision::Kind::ask) {
+      if (d->kind != Decision::Kind::kRunRound) {
         ++answers, last = *d;
         continue;
       }
       const Round& r = plan->round(d->round);
       // No send that can't be of use, and the stated budgets kept.
-      check(r.span > 0, "a round without time");
-      check(now + r.span <= end, "a round beyond the end");
-      if (r.kind == RoundKind::match && query.match_budget)
-        check(r.span <= *query.match_budget, "the match budget is not kept");
-      if (r.kind == RoundKind::fetch && query.fetch_budget)
-        check(r.span <= *query.fetch_budget, "the fetch budget is not kept");
+      check(r.time_limit > 0, "a round without time");
+      check(now + r.time_limit <= end, "a round beyond the end");
+      if (r.kind == RoundKind::kMatch && query.match_budget)
+        check(r.time_limit <= *query.match_budget, "the match budget is not kept");
+      if (r.kind == RoundKind::kFetch && query.fetch_budget)
+        check(r.time_limit <= *query.fetch_budget, "the fetch budget is not kept");
       seen.pages += r.after.has_value();
-      if (r.kind == RoundKind::fetch) {
+      if (r.kind == RoundKind::kFetch) {
         const auto ask = nlohmann::json::parse(r.text);
         check(!changed.count(r.blocks[0]), "a fetch by matches known to be out of date");
         for (const std::string id : ask["stalls"])
@@ -126,17 +127,17 @@
       }
       for (const int b : r.blocks) {
         out.push_back({d->round, b});
-        plan->sent(b);
+        plan->record_sent(b);
       }
       waiting[d->round] = static_cast<int>(r.blocks.size());
     }
   }
 
-  void end_round(int round, RoundEnd how) {
+  void end_round(int round, RoundResult how) {
     if (!waiting.erase(round)) return;
     std::erase_if(out, [&](const Out& o) { return o.round == round; });
-    if (round == 0) first_whole = how == RoundEnd::whole;
-    plan->round_ended(now, round, how, 200 * kMs);
+    if (round == 0) first_whole = how == RoundResult::kComplete;
+    plan->record_round_result(now, round, how, 200 * kMs);
   }
 
   void answer_one() {
@@ -147,30 +148,31 @@
     if (chance(8)) ++version[o.block];  // its data change, or a replica answers that has others
     const int v = chance(16) ? std::max(0, version[o.block] - 1) : version[o.block];
     std::string value =
-        r.kind == RoundKind::fetch ? fetch_value(o.block, v, ask) : match_value(o.block, v, ask);
+        r.kind == RoundKind::kFetch ? fetch_value(o.block, v, ask) : match_value(o.block, v, ask);
     if (chance(12)) {  // spoilt: cut, or with a byte that isn't its own
       value = chance(2) ? value.substr(0, rng() % value.size()) : "[" + value;
-      check(plan->came(o.round, o.block, value) != nullptr || plan->ended(), "a spoilt value is taken");
+      check(plan->record_value(o.round, o.block, value) != nullptr || plan->has_ended(),
+            "a spoilt value is taken");
       return;  // another send may still bring it
     }
-    const char* wrong = plan->came(o.round, o.block, value);
+    const char* wrong = plan->record_value(o.round, o.block, value);
     if (wrong) return;
-    if (r.kind != RoundKind::fetch && !r.after) changed.erase(o.block);
+    if (r.kind != RoundKind::kFetch && !r.after) changed.erase(o.block);
     if (ask.contains("version") && ask["version"] != std::to_string(v)) changed.insert(o.block);
-    if (r.kind == RoundKind::fetch) {
+    if (r.kind == RoundKind::kFetch) {
       const auto said = nlohmann::json::parse(value);
       for (const auto& s : said["stalls"]) got.insert({o.block, std::to_string(v), s["stall"]});
     }
     // What is in hand is of one version a block.
     std::erase_if(got, [&](const auto& g) {
-      return r.kind == RoundKind::fetch && std::get<0>(g) == o.block && std::get<1>(g) != std::to_string(v);
+      return r.kind == RoundKind::kFetch && std::get<0>(g) == o.block && std::get<1>(g) != std::to_string(v);
     });
-    if (o.round == 0 && now > query.left / 2) ++seen.late;
+    if (o.round == 0 && now > query.time_left / 2) ++seen.late;
     out.erase(out.begin() + static_cast<std::ptrdiff_t>(i));
     // Its end may be told a while after its last value.
-    if (--waiting[o.round] == 0 && chance(2)) return end_round(o.round, RoundEnd::whole);
-    if (o.round == 0 && planner.terms.need < 1 && 2 * (k - waiting[0]) >= k && chance(2))
-      end_round(0, RoundEnd::whole);  // enough are in: the decision module ends it
+    if (--waiting[o.round] == 0 && chance(2)) return end_round(o.round, RoundResult::kComplete);
+    if (o.round == 0 && planner.options.required_share < 1 && 2 * (k - waiting[0]) >= k && chance(2))
+      end_round(0, RoundResult::kComplete);  // enough are in: the decision module ends it
   }
 
   void step() {
@@ -179,14 +181,15 @@
         now += static_cast<Time>(rng() % 300) * kMs;
         break;
       case 1:
-        if (const Time at = plan->due(now); at != kNever) check(at > now, "due in the past"), now = at;
+        if (const Time at = plan->next_wake_up(now); at != kNever)
+          check(at > now, "due in the past"), now = at;
         break;
       case 2:
         if (!waiting.empty()) {
           auto it = waiting.begin();
           std::advance(it, rng() % waiting.size());
-          const RoundEnd ends[] = {RoundEnd::in_part, RoundEnd::pushed_back, RoundEnd::failed};
-          end_round(it->first, it->second == 0 ? RoundEnd::whole : ends[rng() % 3]);
+          const RoundResult ends[] = {RoundResult::kPartial, RoundResult::kRejected, RoundResult::kFailed};
+          end_round(it->first, it->second == 0 ? RoundResult::kComplete : ends[rng() % 3]);
         }
         break;
       default:
@@ -194,7 +197,7 @@
         if (!out.empty())
           answer_one();
         else if (!waiting.empty())
-          end_round(waiting.begin()->first, RoundEnd::whole);
+          end_round(waiting.begin()->first, RoundResult::kComplete);
     }
     pull();
   }
@@ -203,7 +206,7 @@
   // is to the stall what a plain look at all data of these versions gives, each with the detail of its
   // version.
   void check_answer() {
-    const Report r = plan->report();
+    const QueryReport r = plan->report();
     double in = 0;
     std::vector<std::tuple<double, int, std::string, int>> all;
     for (int b = 0; b < k; ++b) {
@@ -213,16 +216,17 @@
       const int number = std::atoi(std::string(v).c_str());
       for (const Stall& s : data(b, number)) all.emplace_back(-s.score, b, s.id, number);
     }
-    check(in >= planner.terms.least - 0.001, "an answer below the least share");
+    check(in >= planner.options.min_response_share - 0.001, "an answer below the least share");
     std::size_t held = 0;
-    plan->each_stall(
-        [&](int, const std::string&, double, std::string_view d) { held += sizeof(Entry) + d.size(); });
-    check(plan->bytes() >= held, "matches and details held are not counted");
+    plan->for_each_stall(
+        [&](int, const std::string&, double, std::string_view d) { held += sizeof(MatchEntry) + d.size(); });
+    check(plan->memory_bytes() >= held, "matches and details held are not counted");
     std::sort(all.begin(), all.end());
-    const std::size_t most = std::min({all.size(), query.limit.value_or(kAll), planner.terms.stalls_most});
+    const std::size_t most =
+        std::min({all.size(), query.limit.value_or(kUnlimited), planner.options.max_stalls});
     std::size_t i = 0;
     bool same = true;
-    plan->each_stall([&](int block, const std::string& id, double score, std::string_view shown) {
+    plan->for_each_stall([&](int block, const std::string& id, double score, std::string_view shown) {
       if (i >= most) {
         same = false;
         return;
@@ -230,46 +234,48 @@
       const auto& [minus, b, name, v] = all[i++];
       same = same && block == b && id == name && score == -minus && shown == detail(id, v);
     });
-    if (!last.whole) return check(!r.why.empty(), "not whole and no reason given");
+    if (!last.is_complete) return check(!r.incomplete_reasons.empty(), "not whole and no reason given");
     check(first_whole, "whole from an incomplete first phase");
-    check(in >= planner.terms.need - 0.001, "whole from too few blocks");
+    check(in >= planner.options.required_share - 0.001, "whole from too few blocks");
     check(same && i == most, "a whole answer that isn't what all data give");
     check(r.match.missing == 0 && r.fetch.missing == 0, "whole with something missing");
-    if (!query.limit || *query.limit > planner.terms.stalls_most)
-      check(all.size() <= planner.terms.stalls_most, "whole though it was cut to the most");
+    if (!query.limit || *query.limit > planner.options.max_stalls)
+      check(all.size() <= planner.options.max_stalls, "whole though it was cut to the most");
   }
 
   void play(int steps) {
     k = 1 + static_cast<int>(rng() % 6);
     version.assign(k, 0);
     for (int b = 0; b < k; ++b) query.blocks.push_back({b, 1.0 / k});
-    query.text = "q", query.left = static_cast<Time>(5 + rng() % 2000) * kMs;
+    query.text = "q", query.time_left = static_cast<Time>(5 + rng() % 2000) * kMs;
     if (chance(2)) query.limit = chance(5) ? 0 : rng() % 30;
     if (chance(4)) query.match_budget = static_cast<Time>(1 + rng() % 800) * kMs;
     if (chance(4)) query.fetch_budget = static_cast<Time>(1 + rng() % 800) * kMs;
     // What was learnt before is anything.
     for (std::uint32_t i = rng() % 40; i > 0; --i) {
-      planner.split.match_took(1 + rng() % 8, static_cast<Time>(rng() % 500) * kMs);
-      planner.split.fetch_took(1 + rng() % 8, static_cast<Time>(rng() % 500) * kMs, chance(2));
+      planner.split.record_match(1 + rng() % 8, static_cast<Time>(rng() % 500) * kMs);
+      planner.split.record_fetch(1 + rng() % 8, static_cast<Time>(rng() % 500) * kMs, chance(2));
     }
     now = static_cast<Time>(rng() % 1000) * kMs;
-    plan = std::make_unique<Plan>(planner, query, now);
-    end = now + query.left;
+    plan = std::make_unique<QueryPlan>(planner, query, now);
+    end = now + query.time_left;
     pull();
     for (int i = 0; i < steps && answers == 0; ++i) step();
     while (answers == 0) {  // nothing more comes but time
-      const Time at = plan->due(now);
+      const Time at = plan->next_wake_up(now);
       check(at > now && at <= end, "neither ended nor waiting until its end");
       now = at;
       pull();
     }
     check(answers == 1, "not one final answer");
-    if (last.kind == Decision::Kind::answer) check_answer();
-    ++(last.kind == Decision::Kind::push_back ? seen.pushed_back : last.whole ? seen.whole : seen.in_part);
+    if (last.kind == Decision::Kind::kRespond) check_answer();
+    ++(last.kind == Decision::Kind::kReject ? seen.pushed_back
+       : last.is_complete                   ? seen.whole
+                                            : seen.in_part);
     seen.rematched += plan->report().rematched;
     // Nothing that comes afterwards is needed or does anything.
-    check(plan->due(now) == kNever, "waits after its end");
-    while (!waiting.empty()) end_round(waiting.begin()->first, RoundEnd::failed);
+    check(plan->next_wake_up(now) == kNever, "waits after its end");
+    while (!waiting.empty()) end_round(waiting.begin()->first, RoundResult::kFailed);
     now += kSecond;
     pull();
     check(answers == 1, "a second final answer");
