--- a/bench/phases.cpp
+++ b/bench/phases.cpp
@@ -1,4 +1,5 @@
-// The parts of the two-phase planner: ranking against a plain sort, reading a match, a plan's time an event.
+// Benchmarks of the two-phase planner: the top-k merge against a plain sort, parsing of a match value, and a
+// plan's time per event.
 #include <benchmark/benchmark.h>
 
 #include <algorithm>
@@ -11,7 +12,7 @@
 
 namespace {
 
-// `matches` over 12 blocks, best first in each.
+// Spreads `matches` over 12 blocks, best first in each.
 std::vector<MatchList> lists(std::size_t matches) {
   std::mt19937 rng(1);
   std::vector<MatchList> all(12);
@@ -21,7 +22,8 @@
       found.emplace_back(-static_cast<double>(rng() % 100000), "stall-" + std::to_string(i));
     std::sort(found.begin(), found.end());
     MatchList& m = all[b];
-    m.version = "1", m.total = found.size();
+    m.version = "1";
+    m.total = found.size();
     for (const auto& [minus, id] : found) {
       m.entries.push_back(
           {-minus, static_cast<std::uint32_t>(m.ids.size()), static_cast<std::uint16_t>(id.size())});
@@ -73,7 +75,7 @@
 }
 BENCHMARK(read_a_match)->Arg(10)->Arg(1000);
 
-// A whole two-phase multiget of so many blocks with one match each; an event is a value or a round's end.
+// Runs a two-phase query of so many blocks with one match each. An event is a value or the end of a round.
 void plan(benchmark::State& s) {
   const int blocks = static_cast<int>(s.range(0));
   QueryPlanner planner({});
@@ -82,19 +84,30 @@
   for (auto _ : s) {
     two_phase::Query q;
     for (int b = 0; b < blocks; ++b) q.blocks.push_back({b, 1.0 / blocks});
-    q.time_left = kSecond, q.limit = 10;
+    q.time_left = kSecond;
+    q.limit = 10;
     QueryPlan p(planner, std::move(q), 0);
     std::vector<int> fetches;
-    const auto pull = [&] {
+    const auto run_decisions = [&] {
       while (const auto d = p.next_decision(1000))
         if (d->kind == Decision::Kind::kRunRound && d->round > 0) fetches.push_back(d->round);
     };
-    pull();
-    for (int b = 0; b < blocks; ++b) p.record_value(0, b, match), pull(), ++events;
-    p.record_round_result(1000, 0, RoundResult::kComplete, 0), pull(), ++events;
+    run_decisions();
+    for (int b = 0; b < blocks; ++b) {
+      p.record_value(0, b, match);
+      run_decisions();
+      ++events;
+    }
+    p.record_round_result(1000, 0, RoundResult::kComplete, 0);
+    run_decisions();
+    ++events;
     for (std::size_t i = 0; i < fetches.size(); ++i) {
-      p.record_value(fetches[i], p.round(fetches[i]).blocks[0], fetch), pull(), ++events;
-      p.record_round_result(1000, fetches[i], RoundResult::kComplete, 0), pull(), ++events;
+      p.record_value(fetches[i], p.round(fetches[i]).blocks[0], fetch);
+      run_decisions();
+      ++events;
+      p.record_round_result(1000, fetches[i], RoundResult::kComplete, 0);
+      run_decisions();
+      ++events;
     }
     if (!p.has_ended()) s.SkipWithError("not ended");
   }
