--- a/src/two_phase/query_plan.h
+++ b/src/two_phase/query_plan.h
@@ -42,7 +42,7 @@
   std::size_t max_fetch_size = 200;  // stalls in one fetch request
   std::size_t max_stalls = 10000;    // in one response
   bool learns_time_split = true;     // false: always uses the initial values
-  bool prunes_by_score = true;       // false: fetches from every block with matches
+  bool prunes_by_score = true;       // false: fetches max_stalls, whatever the query's limit
 };
 
 // State that all plans of one request class share: the durations of phases and the budget for rematches.
@@ -125,7 +125,7 @@
     bool is_complete = false;
   };
   int blocks = 0;
-  int pruned = 0;  // blocks that matched, but have no stall among the best
+  int pruned = 0;  // blocks that responded, but have no stall among the best
   int rematched = 0;
   Phase match;
   Phase fetch;
--- a/tests/phases.cpp
+++ b/tests/phases.cpp
@@ -160,7 +160,7 @@
     const PendingValue o = pending[i];
     const Round& r = plan->round(o.round);
     const auto ask = nlohmann::json::parse(r.text);
-    if (chance(8)) ++versions[o.block];  // its data change, or a replica responses that has others
+    if (chance(8)) ++versions[o.block];  // the data change, or a replica with other data responds
     const int v = chance(16) ? std::max(0, versions[o.block] - 1) : versions[o.block];
     std::string value =
         r.kind == RoundKind::kFetch ? fetch_value(o.block, v, ask) : match_value(o.block, v, ask);
@@ -280,7 +280,7 @@
     for (int i = 0; i < steps && responses == 0; ++i) step();
     while (responses == 0) {  // no more events
       const Time at = plan->next_wake_up(now);
-      check(at > now && at <= deadline, "neither ended nor open_rounds until its end");
+      check(at > now && at <= deadline, "neither ended nor waiting until its end");
       now = at;
       run_decisions();
     }
