--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -49,12 +49,12 @@
   // ClusterControl.
   bool refresh_rules() override;
   const dispatch::RequestClassLimits& limits(int request_class) const override;
-  int max_attempts() const override { return applied_rules_->rules->sends_most; }
-  bool may_hedge() const override { return applied_rules_->rules->second_copies; }
+  int max_attempts() const override { return applied_rules_->rules->max_attempts; }
+  bool may_hedge() const override { return applied_rules_->rules->allows_hedging; }
   bool may_run_two_phase(int request_class) const override;
   bool serves_index(const std::string& name) const override;
   bool is_withheld(const std::string& endpoint, Time started_at) const override;
-  std::uint64_t min_list_revision() const override { return applied_rules_->rules->list_floor; }
+  std::uint64_t min_list_revision() const override { return applied_rules_->rules->min_list_revision; }
   void list_begins(std::uint64_t revision, bool is_complete) override;
   void list_endpoint(const std::string& endpoint, Time started_at, EndpointState state,
                      const std::string& locality, int ring_position) override;
@@ -82,24 +82,27 @@
   // For AdminApi. The pointers are null where the options configure no such part.
   const options::Fleet& options() const { return options_; }
   const membership::SwimMembership& membership() const { return membership_; }
-  const shared_config::Hearsay& gossip() const { return gossip_; }
+  const shared_config::EndpointGossip& gossip() const { return gossip_; }
   const transport::Transport& transport() const { return transport_; }
-  shared_config::Accord* shared_config_node() { return config_node_.get(); }
+  shared_config::SharedConfigNode* shared_config_node() { return config_node_.get(); }
   const MaintenanceAgent* maintenance_agent() const { return maintenance_agent_.get(); }
   const zone_failover::ZoneFailover* zone_failover() const { return zone_failover_.get(); }
   // Not null only if this broker decides on zones by itself, without a shared configuration.
-  const shared_config::Versions* standalone_zone_versions() const { return standalone_zone_versions_.get(); }
+  const shared_config::VersionHistory* standalone_zone_versions() const {
+    return standalone_zone_versions_.get();
+  }
   const zone_failover::CrossZoneBudget* cross_zone_budget() const { return cross_zone_budget_.get(); }
   const std::vector<std::string>& request_classes() const { return request_classes_; }
-  // Proposes an entry for the shared log. `done` gets the verdict, or none if there was no verdict in time.
-  void propose(shared_config::Entry entry, shared_config::Accord::Done done);
+  // Proposes an entry for the shared log. `done` gets the verdict, or none if there was no verdict in
+  // time.
+  void propose(shared_config::ConfigEntry entry, shared_config::SharedConfigNode::Done done);
 
  private:
   void handle_message(const std::string& from, std::string_view body);
   void handle_notices(const std::string& from, const std::string& payload);
   void process_events(bool may_call_hooks = true);
   void handle_timer();
-  void send_notices(const std::vector<shared_config::Notice>& notices, const std::string& to);
+  void send_notices(const std::vector<shared_config::EndpointNotice>& notices, const std::string& to);
   std::string notices_digest() const;
   void send_to(const std::string& to, const std::string& bytes);
   void set_up_zone_failover(const options::Zones& options, const settings::Settings& settings);
@@ -118,19 +121,20 @@
   std::vector<std::string> request_classes_;
   std::unique_ptr<EventLog> event_log_;
   membership::SwimMembership membership_;
-  shared_config::Hearsay gossip_;
+  shared_config::EndpointGossip gossip_;
   std::unique_ptr<shared_config::Kept> store_;
-  std::unique_ptr<shared_config::Accord> config_node_;
+  std::unique_ptr<shared_config::SharedConfigNode> config_node_;
   transport::Transport transport_;
   Timer timer_;
   ProcessHooks hooks_;
-  std::shared_ptr<const shared_config::Acting> applied_rules_;
+  std::shared_ptr<const shared_config::ActiveConfig> applied_rules_;
   std::vector<dispatch::RequestClassLimits> limits_;  // by request class
   std::unique_ptr<zone_failover::ZoneFailover> zone_failover_;
   std::unique_ptr<MaintenanceAgent> maintenance_agent_;
-  std::unique_ptr<shared_config::Versions> standalone_zone_versions_;
+  std::unique_ptr<shared_config::VersionHistory> standalone_zone_versions_;
   std::unique_ptr<zone_failover::CrossZoneBudget> cross_zone_budget_;
   std::vector<double> configured_byte_budgets_;  // bytes per second across zones, by request class
+
   std::vector<ZoneLimit> zone_limits_;
   std::vector<bool> stays_in_region_;                       // by request class
   std::map<std::string, ListedEndpoint> listed_endpoints_;  // by name
--- a/src/maintenance/job_queue.cpp
+++ b/src/maintenance/job_queue.cpp
@@ -220,12 +220,13 @@
   return operation;
 }
 
-shared_config::Verdict JobQueue::apply(const shared_config::Entry& entry,
-                                       std::shared_ptr<const shared_config::Board>& next) const {
+shared_config::ApplyResult JobQueue::apply(
+    const shared_config::ConfigEntry& entry,
+    std::shared_ptr<const shared_config::ReplicatedStateMachine>& next) const {
   const auto operation = decode_operation(entry.text);
   if (!operation) return {0, "the maintenance operation is malformed"};
   auto queue = std::make_shared<JobQueue>(*this);
-  shared_config::Verdict verdict;
+  shared_config::ApplyResult verdict;
   if (operation->request) {
     verdict = queue->apply_request(entry, *operation);
   } else if (operation->fleet_status) {
@@ -261,8 +262,8 @@
   }
 }
 
-shared_config::Verdict JobQueue::apply_request(const shared_config::Entry& entry,
-                                               const JobOperation& operation) {
+shared_config::ApplyResult JobQueue::apply_request(const shared_config::ConfigEntry& entry,
+                                                   const JobOperation& operation) {
   const JobRequest& request = *operation.request;
   if (!is_valid_name(request.machine)) {
     return {0, "machine: missing, longer than 64 bytes, or not printable ASCII without spaces"};
@@ -353,8 +354,8 @@
   return {job.number, ""};
 }
 
-shared_config::Verdict JobQueue::apply_transition(const shared_config::Entry& entry,
-                                                  const JobOperation& operation) {
+shared_config::ApplyResult JobQueue::apply_transition(const shared_config::ConfigEntry& entry,
+                                                      const JobOperation& operation) {
   const auto it = jobs_.find(operation.transition->job);
   if (it == jobs_.end()) return {0, "no such work"};
   Job& job = it->second;
@@ -377,8 +378,8 @@
   return {job.number, ""};
 }
 
-shared_config::Verdict JobQueue::apply_operator_action(const shared_config::Entry& entry,
-                                                       const JobOperation& operation) {
+shared_config::ApplyResult JobQueue::apply_operator_action(const shared_config::ConfigEntry& entry,
+                                                           const JobOperation& operation) {
   const auto number = operation.hold     ? *operation.hold
                       : operation.resume ? *operation.resume
                       : operation.cancel ? *operation.cancel
@@ -657,7 +658,7 @@
   return wire.SerializeAsString();
 }
 
-std::shared_ptr<const shared_config::Board> JobQueue::restore(std::string_view bytes) const {
+std::shared_ptr<const shared_config::ReplicatedStateMachine> JobQueue::restore(std::string_view bytes) const {
   upkeep::wire::State wire;
   if (!wire.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return nullptr;
   auto queue = std::make_shared<JobQueue>();
--- a/tests/cluster/zone_world.h
+++ b/tests/cluster/zone_world.h
@@ -71,13 +71,13 @@
     options.report_interval = kSecond / 4;
     options.health.max_report_age = kSecond;
     leader_ = std::make_unique<zone_failover::ZoneFailover>(options, "b0");
-    shared_config::Entry ground;
-    ground.kind = shared_config::Entry::Kind::propose_ground;
+    shared_config::ConfigEntry ground;
+    ground.kind = shared_config::ConfigEntry::Kind::kProposeBaseline;
     ground.id = "g";
     ground.base = 1;
     ground.text = "zone_shares { otherwise: 30 }";
     versions_.apply(ground);
-    ground.kind = shared_config::Entry::Kind::force_ground;
+    ground.kind = shared_config::ConfigEntry::Kind::kActivateBaseline;
     ground.number = 2;
     versions_.apply(ground);
   }
@@ -341,13 +341,13 @@
     if (auto entry = leader_->propose_change(now, versions_)) {
       const auto applied = versions_.apply(*entry);
       if (applied.number) {
-        shared_config::Entry force;
-        force.kind = shared_config::Entry::Kind::force;
+        shared_config::ConfigEntry force;
+        force.kind = shared_config::ConfigEntry::Kind::kActivateVersion;
         force.number = applied.number;
         versions_.apply(force);
         ++run_.versions;
-        const auto& version = *versions_.at(applied.number);
-        tables_.push_back({step_, version.rules->zones, zone_failover::parse_decision(version.note)});
+        const auto& version = *versions_.find(applied.number);
+        tables_.push_back({step_, version.rules->zone_shares, zone_failover::parse_decision(version.note)});
         for (std::size_t z = 0; z < zones_.size(); ++z) {
           const auto& targets = tables_.back().decision.zones;
           const auto it = targets.find(name(static_cast<int>(z)));
@@ -368,7 +368,8 @@
       const std::string home = name(static_cast<int>(broker.home));
       for (std::size_t z = 0; z < zones_.size(); ++z)
         if (z != broker.home)
-          max_remote_share += broker.limits[z] = table->shares.of(home, name(static_cast<int>(z))) / 1000.0;
+          max_remote_share += broker.limits[z] =
+              table->shares.thousandths(home, name(static_cast<int>(z))) / 1000.0;
       const auto it = table->decision.zones.find(home);
       broker.local_share = it == table->decision.zones.end()
                                ? 1
@@ -400,7 +401,8 @@
       double max_remote_share = 0;
       for (std::size_t z = 0; z < zones_.size(); ++z)
         if (z != broker.home)
-          max_remote_share += broker.limits[z] = split.shares.of(home, name(static_cast<int>(z))) / 1000.0;
+          max_remote_share += broker.limits[z] =
+              split.shares.thousandths(home, name(static_cast<int>(z))) / 1000.0;
       broker.local_share = std::max(past_traffic[broker.home].local_share, 1 - max_remote_share);
     }
   }
@@ -415,7 +417,7 @@
   std::vector<Fault> faults_;
   std::set<std::pair<std::size_t, std::size_t>> broken_links_;
   std::unique_ptr<zone_failover::ZoneFailover> leader_;
-  shared_config::Versions versions_;
+  shared_config::VersionHistory versions_;
   std::deque<Table> tables_;
   std::deque<std::pair<std::vector<zone_failover::ZoneTraffic>, zone_failover::BrokenLinks>> delayed_;
   std::vector<LastShare> last_shares_;  // by zone
--- a/tests/upkeep.cpp
+++ b/tests/upkeep.cpp
@@ -37,13 +37,13 @@
 
 // A version history with a job queue, and the operations on it.
 struct QueueFixture {
-  shared_config::Versions history{std::make_shared<JobQueue>()};
+  shared_config::VersionHistory history{std::make_shared<JobQueue>()};
   Time wall_time = 1'000'000 * kSecond;
 
-  const JobQueue& queue() const { return static_cast<const JobQueue&>(*history.board()); }
-  shared_config::Verdict apply(JobOperation operation, const std::string& who = "ann") {
-    shared_config::Entry entry;
-    entry.kind = shared_config::Entry::Kind::board;
+  const JobQueue& queue() const { return static_cast<const JobQueue&>(*history.state_machine()); }
+  shared_config::ApplyResult apply(JobOperation operation, const std::string& who = "ann") {
+    shared_config::ConfigEntry entry;
+    entry.kind = shared_config::ConfigEntry::Kind::kStateMachine;
     entry.who = who;
     entry.why = "story";
     operation.stated_at = wall_time;
@@ -55,8 +55,9 @@
     operation.fleet_status = status;
     apply(operation, "upkeep");
   }
-  shared_config::Verdict request(const std::string& machine, std::vector<std::string> endpoints,
-                                 Time duration = 1800 * kSecond, Time latest_end = kNever, int priority = 0) {
+  shared_config::ApplyResult request(const std::string& machine, std::vector<std::string> endpoints,
+                                     Time duration = 1800 * kSecond, Time latest_end = kNever,
+                                     int priority = 0) {
     JobOperation operation;
     operation.request.emplace();
     operation.request->machine = machine;
@@ -66,7 +67,7 @@
     operation.request->priority = priority;
     return apply(operation);
   }
-  shared_config::Verdict move(std::uint64_t number, JobState to) {
+  shared_config::ApplyResult move(std::uint64_t number, JobState to) {
     const auto it = queue().jobs().find(number);
     JobOperation operation;
     operation.transition = JobOperation::Transition{
@@ -75,10 +76,10 @@
   }
 };
 
-void show(const char* what, const shared_config::Verdict& verdict) {
+void show(const char* what, const shared_config::ApplyResult& verdict) {
   std::printf(
       "%s: %s\n", what,
-      verdict.number ? ("taken, " + std::to_string(verdict.number)).c_str() : verdict.refused.c_str());
+      verdict.number ? ("taken, " + std::to_string(verdict.number)).c_str() : verdict.rejection.c_str());
 }
 
 // Requests and transitions, accepted and refused.
@@ -331,7 +332,7 @@
     };
     for (int k = 0; k < 150; ++k) {
       fixture.wall_time += below(100) * kSecond;
-      shared_config::Verdict verdict;
+      shared_config::ApplyResult verdict;
       std::uint64_t started = 0;
       const std::uint64_t number =
           1 + static_cast<std::uint64_t>(below(static_cast<unsigned>(fixture.queue().jobs().size() + 1)));
--- a/tests/zones.cpp
+++ b/tests/zones.cpp
@@ -276,7 +276,7 @@
         double inflow = 0;
         for (const ZoneTraffic& from : zones) {
           if (from.zone == to.zone) continue;
-          const int share = split.shares.of(from.zone, to.zone);
+          const int share = split.shares.thousandths(from.zone, to.zone);
           below_minimum += share < options.min_share_thousandths;
           const bool is_open = to.accepts_remote_traffic && !broken_links.count({from.zone, to.zone});
           inflow += from.demand_per_second * (share - (is_open ? 0 : options.min_share_thousandths)) / 1000.0;
