--- a/bench/search.cpp
+++ b/bench/search.cpp
@@ -33,13 +33,13 @@
 
 struct Answers {
   Search search;
-  std::deque<BlockAnswer> all;
-  std::vector<Part> parts;
+  std::deque<ShardAnswer> all;
+  std::vector<MergeInput> parts;
   Answers(int blocks, int hits) {
     search.size = static_cast<std::size_t>(hits);
     for (int b = 0; b < blocks; ++b) {
       all.emplace_back();
-      if (read_answer(answer(b, hits), search, "r", b, all.back())) std::abort();
+      if (parse_shard_answer(answer(b, hits), search, "r", b, all.back())) std::abort();
       parts.push_back({b, &all.back()});
     }
   }
@@ -51,7 +51,7 @@
 }
 void by_sort(benchmark::State& s) {
   const Answers a(static_cast<int>(s.range(0)), static_cast<int>(s.range(1)));
-  for (auto _ : s) benchmark::DoNotOptimize(sort_all(a.search, a.parts));
+  for (auto _ : s) benchmark::DoNotOptimize(merge_by_sorting(a.search, a.parts));
 }
 void sizes(benchmark::internal::Benchmark* b) {
   for (const int blocks : {4, 16, 64})
@@ -65,8 +65,8 @@
   Search search;
   search.size = static_cast<std::size_t>(s.range(0));
   for (auto _ : s) {
-    BlockAnswer a;
-    benchmark::DoNotOptimize(read_answer(text, search, "r", 1, a));
+    ShardAnswer a;
+    benchmark::DoNotOptimize(parse_shard_answer(text, search, "r", 1, a));
   }
   s.SetItemsProcessed(s.iterations() * s.range(0));
 }
@@ -75,15 +75,15 @@
 void read_a_request(benchmark::State& s) {
   const std::string text =
       R"({"query":{"bool":{"must":[{"term":{"market":"M3"}},{"range":{"levy":{"gte":10}}}]}},"sort":[{"levy":"desc"}]})";
-  for (auto _ : s) benchmark::DoNotOptimize(read_search(text, {}));
+  for (auto _ : s) benchmark::DoNotOptimize(parse_search(text, {}));
 }
 BENCHMARK(read_a_request);
 
 void merge_sketches(benchmark::State& s) {
-  Distinct a, b;
+  DistinctCountSketch a, b;
   for (int i = 0; i < 10000; ++i) (i % 2 ? a : b).add(std::to_string(i));
   for (auto _ : s) {
-    Distinct both = a;
+    DistinctCountSketch both = a;
     both.merge(b);
     benchmark::DoNotOptimize(both.estimate());
   }
--- a/fuzz/readers.cpp
+++ b/fuzz/readers.cpp
@@ -21,12 +21,12 @@
 }
 
 void answer(std::string_view text, const Search& s) {
-  BlockAnswer one;
-  if (read_answer(text, s, "r", 1, one)) return;
+  ShardAnswer one;
+  if (parse_shard_answer(text, s, "r", 1, one)) return;
   must(one.hits.size() <= s.window());
   for (const Hit& h : one.hits) must(json::parse(h.raw)["_id"] == h.id);
   const auto merged = merge(s, {{1, &one}}, true);
-  if (const auto* m = std::get_if<Merged>(&merged)) must(m->page.size() + s.from >= one.hits.size());
+  if (const auto* m = std::get_if<MergedResult>(&merged)) must(m->page.size() + s.from >= one.hits.size());
 }
 
 }  // namespace
@@ -37,20 +37,20 @@
   const Limits limits;
   switch (data[0] % 7) {
     case 0: {
-      const auto read = read_search(text, limits);
+      const auto read = parse_search(text, limits);
       if (const auto* s = std::get_if<Search>(&read)) {
-        must(s->window() <= limits.window_most);
+        must(s->window() <= limits.max_window);
         // What goes on to the hosts is itself a request that can be read.
         json ask;
-        must(read_json(block_request(*s), ask) == nullptr);
+        must(parse_json(shard_search_body(*s), ask) == nullptr);
       }
       break;
     }
     case 1:
-      read_msearch(text, "r", limits);
+      parse_msearch(text, "r", limits);
       break;
     case 2:
-      read_mget(text, "r", limits);
+      parse_mget(text, "r", limits);
       break;
     case 3:
       answer(text, Search{});
@@ -58,8 +58,8 @@
     case 4: {
       Search s;
       s.sort.push_back({"levy", true, false});
-      s.aggregations.push_back({"a", "market", Aggregation::Kind::terms});
-      s.aggregations.push_back({"b", "levy", Aggregation::Kind::histogram, 10, 25, 5});
+      s.aggregations.push_back({"a", "market", Aggregation::Kind::kTerms});
+      s.aggregations.push_back({"b", "levy", Aggregation::Kind::kHistogram, 10, 25, 5});
       answer(text, s);
       break;
     }
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -112,8 +112,8 @@
       if (options.search) {
         broker_options.search_flavor = options.search->flavor;
         broker_options.max_search_body_bytes = options.search->answer_most;
-        search_limits.window_most = options.search->window_most;
-        search_limits.items_most = options.search->items_most;
+        search_limits.max_window = options.search->window_most;
+        search_limits.max_items = options.search->items_most;
       }
     }
     if (cluster_node) {
--- a/src/frontend/opensearch/opensearch_frontend.cpp
+++ b/src/frontend/opensearch/opensearch_frontend.cpp
@@ -68,7 +68,7 @@
   return std::any_of(std::begin(operations), std::end(operations),
                      [&](const char* known) { return operation == known; });
 }
-os::Fault index_not_found(const std::string& name) {
+os::ApiError index_not_found(const std::string& name) {
   return {404, "index_not_found_exception", "no such index [" + name.substr(0, 80) + "]"};
 }
 
@@ -77,26 +77,26 @@
 // A request of the API with one search or several. It is responded to once, when all of them have ended.
 struct OpenSearchFrontend::ApiRequest {
   std::unique_ptr<dispatch::Responder> responder;
-  std::vector<os::Outcome> outcomes;
+  std::vector<os::ApiResponse> outcomes;
   std::vector<RequestId> request_ids;  // by slot; 0 once ended
   std::vector<Time> retry_after;
   std::size_t unfinished = 0;  // searches that have not ended
   Time began_at = now();
   bool is_abandoned = false;
   // Combines the outcomes into one response, in the format of the operation.
-  std::function<os::Outcome(ApiRequest&)> combine;
+  std::function<os::ApiResponse(ApiRequest&)> combine;
   std::vector<std::vector<std::string>> hits;  // for _mget: the raw hits by slot
   std::vector<bool> is_complete;               // by slot
   bool keeps_hits = false;
 
-  void end_search(Slot slot, os::Outcome outcome, Time retry_after_time = 0) {
+  void end_search(Slot slot, os::ApiResponse outcome, Time retry_after_time = 0) {
     outcomes[slot] = std::move(outcome);
     request_ids[slot] = 0;
     retry_after[slot] = retry_after_time;
     if (--unfinished == 0 && !is_abandoned) respond();
   }
   void respond() {
-    const os::Outcome combined = combine(*this);
+    const os::ApiResponse combined = combine(*this);
     const Time retry_after_time = outcomes.size() == 1 ? retry_after[0] : 0;
     responder->respond(combined.status, frontend::platform::retry_after_text(retry_after_time), combined.body,
                        "application/json");
@@ -117,9 +117,9 @@
   ~SearchCallbacks() override { frontend_.requests_.adjust_memory(answer_bytes_, 0); }
 
   ValueUse on_value(const dispatch::ShardRequest& shard_request, std::string_view value) override {
-    auto answer = std::make_unique<os::BlockAnswer>();
-    const char* error =
-        os::read_answer(value, search_, index_.name, shard_request.shard - index_.first_shard, *answer);
+    auto answer = std::make_unique<os::ShardAnswer>();
+    const char* error = os::parse_shard_answer(value, search_, index_.name,
+                                               shard_request.shard - index_.first_shard, *answer);
     if (error) {
       log("search", "%s: invalid response: %s", shard_request.name.c_str(), error);
       value_errors_[shard_request.shard] = error;
@@ -132,39 +132,41 @@
     return ValueUse::kTaken;
   }
   void on_response(const dispatch::Request& request, bool is_complete) override {
-    const os::Shards shards = shard_summary(request, is_complete);
-    std::vector<os::Part> parts;
+    const os::ShardSummary shards = shard_summary(request, is_complete);
+    std::vector<os::MergeInput> parts;
     for (const auto& [shard, answer] : answers_) parts.push_back({shard, answer.get()});
     const bool has_all_answers = answers_.size() == request.shard_requests.size();
     auto result = os::merge(search_, parts, has_all_answers);
-    if (const auto* fault = std::get_if<os::Fault>(&result)) {
-      return api_request_->end_search(slot_, os::fault(*fault));
+    if (const auto* fault = std::get_if<os::ApiError>(&result)) {
+      return api_request_->end_search(slot_, os::error_response(*fault));
     }
-    const auto& merged = std::get<os::Merged>(result);
+    const auto& merged = std::get<os::MergedResult>(result);
     api_request_->is_complete[slot_] = is_complete && has_all_answers;
     if (api_request_->keeps_hits) {
       for (const auto& place : merged.page) api_request_->hits[slot_].emplace_back(place.hit->raw);
     }
     const std::int64_t took_ms = (now() - api_request_->began_at) / 1'000'000;
     api_request_->end_search(slot_, is_count_
-                                        ? os::count_answer(merged, shards, is_complete)
-                                        : os::search_answer(search_, merged, shards, is_complete, took_ms));
+                                        ? os::count_response(merged, shards, is_complete)
+                                        : os::search_response(search_, merged, shards, is_complete, took_ms));
   }
   void on_rejected(const dispatch::Request& request, Time retry_after) override {
     const bool has_attempts =
         std::any_of(request.shard_requests.begin(), request.shard_requests.end(),
                     [](auto& shard_request) { return !shard_request->attempts.empty(); });
-    api_request_->end_search(
-        slot_, has_attempts ? os::failed(shard_summary(request, false)) : os::pushed_back(), retry_after);
+    api_request_->end_search(slot_,
+                             has_attempts ? os::all_shards_failed_response(shard_summary(request, false))
+                                          : os::too_many_requests_response(),
+                             retry_after);
   }
   void on_failed(const dispatch::Request& request) override {
-    api_request_->end_search(slot_, os::failed(shard_summary(request, false)));
+    api_request_->end_search(slot_, os::all_shards_failed_response(shard_summary(request, false)));
   }
 
  private:
   // Returns the result of each shard, from its last attempt.
-  os::Shards shard_summary(const dispatch::Request& request, bool is_complete) const {
-    os::Shards summary;
+  os::ShardSummary shard_summary(const dispatch::Request& request, bool is_complete) const {
+    os::ShardSummary summary;
     summary.total = static_cast<int>(request.shard_requests.size());
     for (const auto& shard_request : request.shard_requests) {
       if (answers_.count(shard_request->shard)) continue;
@@ -172,16 +174,16 @@
         ++summary.skipped;  // the required share was reached without it
         continue;
       }
-      os::Failure failure;
+      os::ShardFailure failure;
       failure.index = index_.name;
-      failure.block = shard_request->shard - index_.first_shard;
+      failure.shard = shard_request->shard - index_.first_shard;
       if (!shard_request->attempts.empty()) {
         const dispatch::Attempt& last = *shard_request->attempts.back();
         failure.node = frontend_.endpoints_.endpoint_name(last.endpoint);
-        failure.how = failure_kind(last);
+        failure.kind = failure_kind(last);
         const auto error = value_errors_.find(shard_request->shard);
-        if (failure.how == os::Failure::How::error && error != value_errors_.end()) {
-          failure.how = os::Failure::How::unusable;
+        if (failure.kind == os::ShardFailure::Kind::kError && error != value_errors_.end()) {
+          failure.kind = os::ShardFailure::Kind::kInvalidAnswer;
           failure.detail = error->second;
         }
       }
@@ -189,24 +191,24 @@
     }
     return summary;
   }
-  static os::Failure::How failure_kind(const dispatch::Attempt& attempt) {
-    if (!attempt.has_ended) return os::Failure::How::timed_out;
+  static os::ShardFailure::Kind failure_kind(const dispatch::Attempt& attempt) {
+    if (!attempt.has_ended) return os::ShardFailure::Kind::kTimedOut;
     switch (attempt.outcome) {
       case AttemptOutcome::kQueueFull:
-        return os::Failure::How::rejected;
+        return os::ShardFailure::Kind::kRejected;
       case AttemptOutcome::kConnectFailed:
       case AttemptOutcome::kNotSent:
-        return os::Failure::How::not_connected;
+        return os::ShardFailure::Kind::kNotConnected;
       case AttemptOutcome::kReset:
-        return os::Failure::How::broken;
+        return os::ShardFailure::Kind::kDisconnected;
       case AttemptOutcome::kTimedOut:
       case AttemptOutcome::kCancelled:
-        return os::Failure::How::timed_out;
+        return os::ShardFailure::Kind::kTimedOut;
       case AttemptOutcome::kOk:
       case AttemptOutcome::kError:
         break;
     }
-    return os::Failure::How::error;
+    return os::ShardFailure::Kind::kError;
   }
 
   OpenSearchFrontend& frontend_;
@@ -214,7 +216,7 @@
   Slot slot_;
   const IndexDefinition& index_;
   const os::Search search_;
-  std::map<int, std::unique_ptr<os::BlockAnswer>> answers_;  // by shard
+  std::map<int, std::unique_ptr<os::ShardAnswer>> answers_;  // by shard
   std::map<int, const char*> value_errors_;                  // by shard
   std::size_t answer_bytes_ = 0;                             // approximate memory of the answers
   bool is_count_;
@@ -246,7 +248,7 @@
 std::function<void()> OpenSearchFrontend::handle(const frontend::platform::ClientRequest& client_request,
                                                  std::unique_ptr<dispatch::Responder> responder) {
   const auto [index_name, operation] = split_path(client_request.path);
-  const auto respond = [&](const os::Outcome& outcome) {
+  const auto respond = [&](const os::ApiResponse& outcome) {
     responder->respond(outcome.status, "", outcome.body, "application/json");
     return nullptr;
   };
@@ -256,9 +258,10 @@
     return nullptr;
   }
   if (client_request.method != "POST") {
-    return respond(os::fault({405, "illegal_argument_exception", "only POST here: a GET has no body"}));
+    return respond(
+        os::error_response({405, "illegal_argument_exception", "only POST here: a GET has no body"}));
   }
-  if (requests_.is_full()) return respond(os::pushed_back());
+  if (requests_.is_full()) return respond(os::too_many_requests_response());
   if (operation == "_msearch") return msearch(client_request, index_name, std::move(responder));
   if (operation == "_mget") return mget(client_request, index_name, std::move(responder));
   return search(client_request, index_name, operation == "_count", std::move(responder));
@@ -279,7 +282,7 @@
                                       const IndexDefinition& index, const os::Search& search,
                                       const std::string& body, bool is_count) {
   // Checked for each search, since one API request may hold a thousand.
-  if (requests_.is_full()) return api_request->end_search(slot, os::pushed_back());
+  if (requests_.is_full()) return api_request->end_search(slot, os::too_many_requests_response());
   auto request = std::make_unique<dispatch::Request>();
   do {
     request->name = "os" + std::to_string(++last_search_number_);
@@ -303,7 +306,7 @@
 
 std::shared_ptr<OpenSearchFrontend::ApiRequest> OpenSearchFrontend::make_api_request(
     std::unique_ptr<dispatch::Responder> responder, std::size_t slots,
-    std::function<os::Outcome(ApiRequest&)> combine) {
+    std::function<os::ApiResponse(ApiRequest&)> combine) {
   auto api_request = std::make_shared<ApiRequest>();
   api_request->responder = std::move(responder);
   api_request->combine = std::move(combine);
@@ -319,17 +322,17 @@
 std::function<void()> OpenSearchFrontend::search(const frontend::platform::ClientRequest& client_request,
                                                  const std::string& index_name, bool is_count,
                                                  std::unique_ptr<dispatch::Responder> responder) {
-  const auto reject = [&](const os::Fault& fault) {
+  const auto reject = [&](const os::ApiError& fault) {
     responder->respond(fault.status, "", os::error_body(fault), "application/json");
     return nullptr;
   };
   const IndexDefinition* index = find_index(index_name);
   if (!index) return reject(index_not_found(index_name));
-  auto parsed = os::read_search(client_request.body, limits_);
-  if (const auto* fault = std::get_if<os::Fault>(&parsed)) return reject(*fault);
+  auto parsed = os::parse_search(client_request.body, limits_);
+  if (const auto* fault = std::get_if<os::ApiError>(&parsed)) return reject(*fault);
   os::Search search = std::move(std::get<os::Search>(parsed));
   for (const auto& [key, value] : url_parameters(client_request.parameters)) {
-    if (const auto fault = os::read_parameter(key, value, search, limits_)) return reject(*fault);
+    if (const auto fault = os::parse_parameter(key, value, search, limits_)) return reject(*fault);
   }
   if (is_count) {
     if (!search.sort.empty() || !search.aggregations.empty() || !search.search_after.is_null() ||
@@ -337,24 +340,24 @@
       return reject({400, "parsing_exception", "a count takes a query alone"});
     }
     search.size = 0;
-    search.counts_all = true;
-    search.counts = true;
+    search.tracks_exact_total = true;
+    search.tracks_total = true;
   }
   const auto api_request = make_api_request(std::move(responder), 1,
                                             [](ApiRequest& ended) { return std::move(ended.outcomes[0]); });
-  start_search(api_request, 0, *index, search, os::block_request(search), is_count);
+  start_search(api_request, 0, *index, search, os::shard_search_body(search), is_count);
   return abandon_function(api_request);
 }
 
 std::function<void()> OpenSearchFrontend::msearch(const frontend::platform::ClientRequest& client_request,
                                                   const std::string& index_name,
                                                   std::unique_ptr<dispatch::Responder> responder) {
-  auto parsed = os::read_msearch(client_request.body, index_name, limits_);
-  if (const auto* fault = std::get_if<os::Fault>(&parsed)) {
+  auto parsed = os::parse_msearch(client_request.body, index_name, limits_);
+  if (const auto* fault = std::get_if<os::ApiError>(&parsed)) {
     responder->respond(fault->status, "", os::error_body(*fault), "application/json");
     return nullptr;
   }
-  const auto& items = std::get<std::vector<os::Item>>(parsed);
+  const auto& items = std::get<std::vector<os::MsearchItem>>(parsed);
   // All searches are counted as unfinished before the first one starts, so that one that ends at once doesn't
   // complete the response.
   const auto api_request = make_api_request(std::move(responder), items.size(), [](ApiRequest& ended) {
@@ -370,17 +373,17 @@
       }
       body += item_body;
     }
-    return os::Outcome{200, body + "]}"};
+    return os::ApiResponse{200, body + "]}"};
   });
   for (Slot i = 0; i < items.size(); ++i) {
     const auto* search = std::get_if<os::Search>(&items[i].search);
     const IndexDefinition* index = find_index(items[i].index);
     if (!search) {
-      api_request->end_search(i, os::fault(std::get<os::Fault>(items[i].search)));
+      api_request->end_search(i, os::error_response(std::get<os::ApiError>(items[i].search)));
     } else if (!index) {
-      api_request->end_search(i, os::fault(index_not_found(items[i].index)));
+      api_request->end_search(i, os::error_response(index_not_found(items[i].index)));
     } else {
-      start_search(api_request, i, *index, *search, os::block_request(*search), false);
+      start_search(api_request, i, *index, *search, os::shard_search_body(*search), false);
     }
   }
   return abandon_function(api_request);
@@ -391,14 +394,14 @@
 std::function<void()> OpenSearchFrontend::mget(const frontend::platform::ClientRequest& client_request,
                                                const std::string& index_name,
                                                std::unique_ptr<dispatch::Responder> responder) {
-  auto parsed = os::read_mget(client_request.body, index_name, limits_);
-  if (const auto* fault = std::get_if<os::Fault>(&parsed)) {
+  auto parsed = os::parse_mget(client_request.body, index_name, limits_);
+  if (const auto* fault = std::get_if<os::ApiError>(&parsed)) {
     responder->respond(fault->status, "", os::error_body(*fault), "application/json");
     return nullptr;
   }
-  const auto gets = std::get<std::vector<os::Get>>(parsed);
+  const auto gets = std::get<std::vector<os::MgetItem>>(parsed);
   std::map<std::string, std::vector<std::string>> ids_by_index;
-  for (const os::Get& get : gets) {
+  for (const os::MgetItem& get : gets) {
     auto& ids = ids_by_index[get.index];
     if (std::find(ids.begin(), ids.end(), get.id) == ids.end()) ids.push_back(get.id);
   }
@@ -415,7 +418,7 @@
           }
         }
         json docs = json::array();
-        for (const os::Get& get : gets) {
+        for (const os::MgetItem& get : gets) {
           const auto slot =
               static_cast<std::size_t>(std::find(names.begin(), names.end(), get.index) - names.begin());
           json doc{{"_index", get.index}, {"_id", get.id}};
@@ -433,25 +436,25 @@
           }
           docs.push_back(std::move(doc));
         }
-        return os::Outcome{200, json_text({{"docs", docs}})};
+        return os::ApiResponse{200, json_text({{"docs", docs}})};
       });
   api_request->keeps_hits = true;
   for (Slot i = 0; i < names.size(); ++i) {
     const auto& ids = ids_by_index[names[i]];
     const IndexDefinition* index = find_index(names[i]);
     if (!index) {
-      api_request->end_search(i, os::fault(index_not_found(names[i])));
+      api_request->end_search(i, os::error_response(index_not_found(names[i])));
       continue;
     }
     os::Search search;
     search.query = {{"ids", {{"values", ids}}}};
     search.size = ids.size();
-    start_search(api_request, i, *index, search, os::block_request(search), false);
+    start_search(api_request, i, *index, search, os::shard_search_body(search), false);
   }
   return abandon_function(api_request);
 }
 
-os::Outcome OpenSearchFrontend::health() const {
+os::ApiResponse OpenSearchFrontend::health() const {
   int held_count = 0;
   int shard_count = 0;
   bool is_each_held = true;
--- a/src/frontend/opensearch/opensearch_frontend.h
+++ b/src/frontend/opensearch/opensearch_frontend.h
@@ -54,14 +54,14 @@
                                 std::unique_ptr<dispatch::Responder> responder);
   std::function<void()> mget(const frontend::platform::ClientRequest& client_request,
                              const std::string& index_name, std::unique_ptr<dispatch::Responder> responder);
-  cairnhub::opensearch::Outcome health() const;
+  cairnhub::opensearch::ApiResponse health() const;
   std::string cat_shards(const std::string& index_name) const;
   const IndexDefinition* find_index(const std::string& name) const;
   void start_search(const std::shared_ptr<ApiRequest>& api_request, Slot slot, const IndexDefinition& index,
                     const cairnhub::opensearch::Search& search, const std::string& body, bool is_count);
   static std::shared_ptr<ApiRequest> make_api_request(
       std::unique_ptr<dispatch::Responder> responder, std::size_t slots,
-      std::function<cairnhub::opensearch::Outcome(ApiRequest&)> combine);
+      std::function<cairnhub::opensearch::ApiResponse(ApiRequest&)> combine);
   std::function<void()> abandon_function(const std::shared_ptr<ApiRequest>& api_request);
 
   std::vector<IndexDefinition> indices_;
--- a/src/opensearch/answer.cpp
+++ b/src/opensearch/answer.cpp
@@ -84,7 +84,7 @@
 int compare_values(const json& a, const json& b, const SortKey& k) {
   if (a.is_null() || b.is_null()) {
     if (a.is_null() && b.is_null()) return 0;
-    return a.is_null() == k.missing_first ? -1 : 1;
+    return a.is_null() == k.puts_missing_first ? -1 : 1;
   }
   int c = 0;
   if (a.is_string() != b.is_string()) {
@@ -143,7 +143,7 @@
   using Kind = Aggregation::Kind;
   std::uint64_t n = 0;
   switch (a.kind) {
-    case Kind::terms: {
+    case Kind::kTerms: {
       if (!count(member(agg, "doc_count_error_upper_bound"), n) ||
           !count(member(agg, "sum_other_doc_count"), n))
         return "a terms aggregation without its bounds";
@@ -158,18 +158,19 @@
       return n > 0 && agg["buckets"].size() < a.shard_size ? "terms are left out though there is room"
                                                            : nullptr;
     }
-    case Kind::histogram:
+    case Kind::kHistogram:
       return check_buckets(agg, true, 100000);
-    case Kind::value_count:
+    case Kind::kValueCount:
       return count(member(agg, "value"), n) ? nullptr : "an aggregation without its value";
-    case Kind::avg:  // asked as stats: a mean of means would be wrong
+    case Kind::kAvg:  // asked as stats: a mean of means would be wrong
       return count(member(agg, "count"), n) && number_or_null(member(agg, "sum"))
                  ? nullptr
                  : "an aggregation without its value";
-    case Kind::cardinality: {
+    case Kind::kCardinality: {
       const json* sketch = member(agg, "sketch");
-      Distinct d;
-      return sketch && sketch->is_string() && Distinct::read(sketch->get_ref<const std::string&>(), d)
+      DistinctCountSketch d;
+      return sketch && sketch->is_string() &&
+                     DistinctCountSketch::parse_hex(sketch->get_ref<const std::string&>(), d)
                  ? nullptr
                  : "a cardinality without its sketch";
     }
@@ -180,18 +181,18 @@
 
 }  // namespace
 
-int compare(const Search& s, const Hit& a, const Hit& b) {
+int compare_hits(const Search& s, const Hit& a, const Hit& b) {
   if (s.sort.empty()) return a.score > b.score ? -1 : a.score < b.score ? 1 : 0;
   for (std::size_t i = 0; i < s.sort.size(); ++i)
     if (const int c = compare_values(a.sort[i], b.sort[i], s.sort[i])) return c;
   return 0;
 }
 
-const char* read_answer(std::string_view value, const Search& s, const std::string& index, int block,
-                        BlockAnswer& into) {
+const char* parse_shard_answer(std::string_view value, const Search& s, const std::string& index, int block,
+                               ShardAnswer& into) {
   into.bytes = value;
   json all;
-  if (const char* wrong = read_json(into.bytes, all)) return wrong;
+  if (const char* wrong = parse_json(into.bytes, all)) return wrong;
   if (!all.is_object()) return "not an object";
   const json *late = member(all, "timed_out"), *shards = member(all, "_shards"), *hits = member(all, "hits");
   if (!late || !late->is_boolean()) return "timed_out is missing";
@@ -212,7 +213,7 @@
 
   const json* list = member(*hits, "hits");
   if (!list || !list->is_array()) return "hits are missing";
-  if (s.counts) {
+  if (s.tracks_total) {
     const json *t = member(*hits, "total"), *relation = t ? member(*t, "relation") : nullptr;
     if (!t || !count(member(*t, "value"), into.total) || !relation ||
         (*relation != "eq" && *relation != "gte"))
@@ -223,13 +224,13 @@
   }
   const std::size_t n = list->size();
   if (n > s.window()) return "more hits than asked for";
-  if (s.counts && into.total < n) return "more hits than its total";
+  if (s.tracks_total && into.total < n) return "more hits than its total";
   // Danger: hits left out that nothing tells of. After a search_after the total doesn't say how many are
   // left, so that hosts say it themselves.
   std::uint64_t left = into.total;
   if (!s.search_after.is_null() && !count(member(*hits, "remaining"), left))
     return "hits.remaining is missing";
-  const bool known = !s.search_after.is_null() || (s.counts && into.total_exact);
+  const bool known = !s.search_after.is_null() || (s.tracks_total && into.total_exact);
   if (known && s.terminate_after == 0 && n != std::min<std::uint64_t>(s.window(), left))
     return "hits are left out";
   Walker walker(into.bytes);
@@ -244,10 +245,10 @@
     if (const char* wrong = read_hit((*list)[i], raw[i], s, index, block, into.hits[i])) return wrong;
     if (!ids.insert(into.hits[i].id).second) return "a hit twice";
     if (i > 0) {
-      const int c = compare(s, into.hits[i - 1], into.hits[i]);
+      const int c = compare_hits(s, into.hits[i - 1], into.hits[i]);
       if (c > 0 || (c == 0 && into.hits[i - 1].id > into.hits[i].id)) return "hits out of order";
     }
-    if (!s.search_after.is_null() && compare(s, after, into.hits[i]) >= 0)
+    if (!s.search_after.is_null() && compare_hits(s, after, into.hits[i]) >= 0)
       return "a hit from before the page";
   }
   const json* aggs = member(all, "aggregations");
--- a/src/opensearch/answer.h
+++ b/src/opensearch/answer.h
@@ -16,7 +16,7 @@
   json sort;  // values, one a sort key; null where it's by score
 };
 
-struct BlockAnswer {
+struct ShardAnswer {
   std::string bytes;      // the hits look into these
   std::vector<Hit> hits;  // best first
   std::uint64_t total = 0;
@@ -25,10 +25,10 @@
 };
 
 // Null where it can be merged, else what is wrong. `into` must stay where it is from then on.
-const char* read_answer(std::string_view value, const Search& search, const std::string& index, int block,
-                        BlockAnswer& into);
+const char* parse_shard_answer(std::string_view value, const Search& search, const std::string& index,
+                               int block, ShardAnswer& into);
 
 // Whether a ranks before b by score or sort values alone: below 0, 0, above 0.
-int compare(const Search& search, const Hit& a, const Hit& b);
+int compare_hits(const Search& search, const Hit& a, const Hit& b);
 
 }  // namespace cairnhub::opensearch
--- a/src/opensearch/json.cpp
+++ b/src/opensearch/json.cpp
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-const char* read_json(std::string_view text, json& into, int deepest, std::size_t most_values) {
+const char* parse_json(std::string_view text, json& into, int deepest, std::size_t most_values) {
   Builder b(into, deepest, most_values);
   if (!json::sax_parse(text, &b) && !b.wrong) b.wrong = "not well-formed JSON";
   return b.wrong;
--- a/src/opensearch/json.h
+++ b/src/opensearch/json.h
@@ -8,11 +8,11 @@
 
 using json = nlohmann::ordered_json;
 
-constexpr int kDeepest = 64;
+constexpr int kMaxJsonDepth = 64;
 
 // What is wrong with the text, or null. `most_values`: of all kinds together; danger: a small body of many
 // tiny values takes fifty times its size in memory.
-const char* read_json(std::string_view text, json& into, int deepest = kDeepest,
-                      std::size_t most_values = 400000);
+const char* parse_json(std::string_view text, json& into, int deepest = kMaxJsonDepth,
+                       std::size_t most_values = 400000);
 
 }  // namespace cairnhub::opensearch
--- a/src/opensearch/merge.cpp
+++ b/src/opensearch/merge.cpp
@@ -12,9 +12,9 @@
 
 constexpr std::size_t kBucketsMost = 65536;  // in one merged aggregation
 
-bool before(const Search& s, const Merged::Place& a, const Merged::Place& b) {
-  if (const int c = compare(s, *a.hit, *b.hit)) return c < 0;
-  if (a.block != b.block) return a.block < b.block;
+bool before(const Search& s, const MergedResult::RankedHit& a, const MergedResult::RankedHit& b) {
+  if (const int c = compare_hits(s, *a.hit, *b.hit)) return c < 0;
+  if (a.shard != b.shard) return a.shard < b.shard;
   return a.hit->id < b.hit->id;
 }
 
@@ -73,7 +73,7 @@
           {"buckets", std::move(buckets)}};
 }
 
-Read<json> merge_histogram(const Aggregation& a, const std::vector<const json*>& all) {
+Parsed<json> merge_histogram(const Aggregation& a, const std::vector<const json*>& all) {
   std::map<double, std::uint64_t> counts;
   for (const json* one : all)
     for (const json& b : (*one)["buckets"])
@@ -81,7 +81,8 @@
   if (a.min_doc_count == 0 && !counts.empty()) {  // the gaps too
     const double first = counts.begin()->first, steps = (counts.rbegin()->first - first) / a.interval;
     if (steps > static_cast<double>(kBucketsMost))
-      return Fault{400, "too_many_buckets_exception", "[" + a.name + "] would give more than 65536 buckets"};
+      return ApiError{400, "too_many_buckets_exception",
+                      "[" + a.name + "] would give more than 65536 buckets"};
     for (double i = 0; i < steps; ++i) counts[std::round(first / a.interval + i) * a.interval];
   }
   json buckets = json::array();
@@ -90,42 +91,42 @@
   return json{{"buckets", std::move(buckets)}};
 }
 
-Read<json> merge_aggregation(const Aggregation& a, const std::vector<const json*>& all) {
+Parsed<json> merge_aggregation(const Aggregation& a, const std::vector<const json*>& all) {
   using Kind = Aggregation::Kind;
   std::optional<double> extreme;
   Sum sum;
   std::uint64_t n = 0;
-  Distinct distinct;
+  DistinctCountSketch distinct;
   switch (a.kind) {
-    case Kind::terms:
+    case Kind::kTerms:
       return merge_terms(a, all);
-    case Kind::histogram:
+    case Kind::kHistogram:
       return merge_histogram(a, all);
-    case Kind::min:
-    case Kind::max:
+    case Kind::kMin:
+    case Kind::kMax:
       for (const json* one : all) {
         if ((*one)["value"].is_null()) continue;
         const double v = (*one)["value"].get<double>();
-        extreme = !extreme ? v : a.kind == Kind::min ? std::min(*extreme, v) : std::max(*extreme, v);
+        extreme = !extreme ? v : a.kind == Kind::kMin ? std::min(*extreme, v) : std::max(*extreme, v);
       }
       return json{{"value", extreme ? json(*extreme) : json(nullptr)}};
-    case Kind::sum:
+    case Kind::kSum:
       for (const json* one : all) sum.add((*one)["value"].is_null() ? 0 : (*one)["value"].get<double>());
       return json{{"value", sum.value()}};
-    case Kind::value_count:
+    case Kind::kValueCount:
       for (const json* one : all) n += (*one)["value"].get<std::uint64_t>();
       return json{{"value", n}};
-    case Kind::avg:
+    case Kind::kAvg:
       for (const json* one : all) {
         n += (*one)["count"].get<std::uint64_t>();
         sum.add((*one)["sum"].is_null() ? 0 : (*one)["sum"].get<double>());
       }
       return json{{"value", n ? json(sum.value() / static_cast<double>(n)) : json(nullptr)}};
-    case Kind::cardinality:
+    case Kind::kCardinality:
       for (const json* one : all) {
-        Distinct d;
-        if (!Distinct::read((*one)["sketch"].get_ref<const std::string&>(), d))
-          return Fault{502, "illegal_state_exception", "[" + a.name + "]: a sketch that can't be read"};
+        DistinctCountSketch d;
+        if (!DistinctCountSketch::parse_hex((*one)["sketch"].get_ref<const std::string&>(), d))
+          return ApiError{502, "illegal_state_exception", "[" + a.name + "]: a sketch that can't be read"};
         distinct.merge(d);
       }
       return json{{"value", static_cast<std::uint64_t>(std::llround(distinct.estimate()))}};
@@ -135,19 +136,19 @@
 
 }  // namespace
 
-Read<Merged> merge(const Search& s, const std::vector<Part>& parts, bool all_in) {
-  Merged out;
+Parsed<MergedResult> merge(const Search& s, const std::vector<MergeInput>& parts, bool all_in) {
+  MergedResult out;
   struct Head {
-    Merged::Place place;
-    const BlockAnswer* of;
+    MergedResult::RankedHit place;
+    const ShardAnswer* of;
     std::size_t next;
   };
   std::vector<Head> heads;
   out.total_exact = all_in;
-  for (const Part& p : parts) {
+  for (const MergeInput& p : parts) {
     out.total += p.answer->total;
     out.total_exact = out.total_exact && p.answer->total_exact;
-    if (!p.answer->hits.empty()) heads.push_back({{p.block, &p.answer->hits[0]}, p.answer, 1});
+    if (!p.answer->hits.empty()) heads.push_back({{p.shard, &p.answer->hits[0]}, p.answer, 1});
   }
   const auto worse = [&](const Head& a, const Head& b) { return before(s, b.place, a.place); };
   std::make_heap(heads.begin(), heads.end(), worse);
@@ -163,21 +164,22 @@
       heads.pop_back();
     }
   }
-  if (!s.counts_all && out.total > s.counts_to) out.total = s.counts_to, out.total_exact = false;
+  if (!s.tracks_exact_total && out.total > s.max_tracked_total)
+    out.total = s.max_tracked_total, out.total_exact = false;
   for (const Aggregation& a : s.aggregations) {
     std::vector<const json*> all;
-    for (const Part& p : parts) all.push_back(&p.answer->aggregations[a.name]);
+    for (const MergeInput& p : parts) all.push_back(&p.answer->aggregations[a.name]);
     auto merged = merge_aggregation(a, all);
-    if (const auto* f = std::get_if<Fault>(&merged)) return *f;
+    if (const auto* f = std::get_if<ApiError>(&merged)) return *f;
     out.aggregations[a.name] = std::move(std::get<json>(merged));
   }
   return out;
 }
 
-std::vector<Merged::Place> sort_all(const Search& s, const std::vector<Part>& parts) {
-  std::vector<Merged::Place> all;
-  for (const Part& p : parts)
-    for (const Hit& h : p.answer->hits) all.push_back({p.block, &h});
+std::vector<MergedResult::RankedHit> merge_by_sorting(const Search& s, const std::vector<MergeInput>& parts) {
+  std::vector<MergedResult::RankedHit> all;
+  for (const MergeInput& p : parts)
+    for (const Hit& h : p.answer->hits) all.push_back({p.shard, &h});
   std::sort(all.begin(), all.end(), [&](const auto& a, const auto& b) { return before(s, a, b); });
   const std::size_t from = std::min(s.from, all.size()), to = std::min(s.window(), all.size());
   return {all.begin() + static_cast<std::ptrdiff_t>(from), all.begin() + static_cast<std::ptrdiff_t>(to)};
--- a/src/opensearch/merge.h
+++ b/src/opensearch/merge.h
@@ -13,17 +13,17 @@
 
 namespace cairnhub::opensearch {
 
-struct Part {
-  int block = 0;
-  const BlockAnswer* answer = nullptr;
+struct MergeInput {
+  int shard = 0;
+  const ShardAnswer* answer = nullptr;
 };
 
-struct Merged {
-  struct Place {
-    int block;
+struct MergedResult {
+  struct RankedHit {
+    int shard;
     const Hit* hit;
   };
-  std::vector<Place> page;  // after `from`
+  std::vector<RankedHit> page;  // after `from`
   std::uint64_t total = 0;
   bool total_exact = true;
   std::optional<double> max_score;
@@ -31,9 +31,10 @@
 };
 
 // `all_in`: every block of the index is. Parts in order of block. A fault where aggregations can't be made.
-Read<Merged> merge(const Search& search, const std::vector<Part>& parts, bool all_in);
+Parsed<MergedResult> merge(const Search& search, const std::vector<MergeInput>& parts, bool all_in);
 
 // The plain way, to compare with: all hits together, sorted.
-std::vector<Merged::Place> sort_all(const Search& search, const std::vector<Part>& parts);
+std::vector<MergedResult::RankedHit> merge_by_sorting(const Search& search,
+                                                      const std::vector<MergeInput>& parts);
 
 }  // namespace cairnhub::opensearch
--- a/src/opensearch/request.cpp
+++ b/src/opensearch/request.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-Fault parsing(std::string reason) { return {400, "parsing_exception", std::move(reason)}; }
-Fault illegal(std::string reason) { return {400, "illegal_argument_exception", std::move(reason)}; }
+ApiError parsing(std::string reason) { return {400, "parsing_exception", std::move(reason)}; }
+ApiError illegal(std::string reason) { return {400, "illegal_argument_exception", std::move(reason)}; }
 std::string bracketed(const std::string& s) { return "[" + s.substr(0, 80) + "]"; }
 
 // A plain value that a field can be compared with.
@@ -21,17 +21,18 @@
 }
 
 // Members of an object, each known and read by what is given for it.
-using Maybe = std::optional<Fault>;
+using Maybe = std::optional<ApiError>;
 
 class Checker {
  public:
-  explicit Checker(const Limits& limits) : limits_(limits), clauses_left_(limits.clauses_most) {}
+  explicit Checker(const Limits& limits) : limits_(limits), clauses_left_(limits.max_clauses) {}
 
   Maybe query(const json& q, int depth) {
-    if (depth > limits_.depth_most)
-      return illegal("bool queries nested deeper than " + std::to_string(limits_.depth_most));
+    if (depth > limits_.max_bool_depth)
+      return illegal("bool queries nested deeper than " + std::to_string(limits_.max_bool_depth));
     if (clauses_left_-- == 0)
-      return Fault{400, "too_many_clauses", "more than " + std::to_string(limits_.clauses_most) + " clauses"};
+      return ApiError{400, "too_many_clauses",
+                      "more than " + std::to_string(limits_.max_clauses) + " clauses"};
     if (!q.is_object() || q.size() != 1) return parsing("a query is an object with one key, its kind");
     const std::string kind = q.begin().key();
     const json& body = q.begin().value();
@@ -73,9 +74,9 @@
   }
   Maybe list(const std::string& kind, const json& v) {
     if (!v.is_array()) return parsing(bracketed(kind) + " query needs a list of values");
-    if (v.size() > limits_.terms_most)
+    if (v.size() > limits_.max_terms)
       return illegal("the number of terms " + std::to_string(v.size()) +
-                     " has exceeded the allowed maximum of " + std::to_string(limits_.terms_most));
+                     " has exceeded the allowed maximum of " + std::to_string(limits_.max_terms));
     for (const json& one : v)
       if (!plain(one)) return parsing(bracketed(kind) + " query: a value is no text, number or truth value");
     return {};
@@ -117,7 +118,7 @@
     for (const auto& [key, v] : body.items()) {
       if (key == "boost") continue;
       if (key == "minimum_should_match") {
-        if (!whole(v, limits_.clauses_most)) return illegal("[minimum_should_match] is a whole number here");
+        if (!whole(v, limits_.max_clauses)) return illegal("[minimum_should_match] is a whole number here");
         continue;
       }
       if (key != "must" && key != "should" && key != "filter" && key != "must_not")
@@ -168,7 +169,7 @@
       for (const auto& [key, o] : how.items()) {
         if (key == "order" ? !order(o) : key == "missing" ? (o != "_first" && o != "_last") : true)
           return illegal("[sort] on " + bracketed(k.field) + " does not support " + bracketed(key) + " so");
-        if (key == "missing") k.missing_first = o == "_first";
+        if (key == "missing") k.puts_missing_first = o == "_first";
       }
     } else {
       return parsing("[sort] malformed");
@@ -215,14 +216,14 @@
   a.name = name;
   const std::string kind = v.begin().key();
   static const std::vector<std::pair<const char*, Aggregation::Kind>> kinds = {
-      {"terms", Aggregation::Kind::terms},
-      {"min", Aggregation::Kind::min},
-      {"max", Aggregation::Kind::max},
-      {"sum", Aggregation::Kind::sum},
-      {"avg", Aggregation::Kind::avg},
-      {"value_count", Aggregation::Kind::value_count},
-      {"histogram", Aggregation::Kind::histogram},
-      {"cardinality", Aggregation::Kind::cardinality}};
+      {"terms", Aggregation::Kind::kTerms},
+      {"min", Aggregation::Kind::kMin},
+      {"max", Aggregation::Kind::kMax},
+      {"sum", Aggregation::Kind::kSum},
+      {"avg", Aggregation::Kind::kAvg},
+      {"value_count", Aggregation::Kind::kValueCount},
+      {"histogram", Aggregation::Kind::kHistogram},
+      {"cardinality", Aggregation::Kind::kCardinality}};
   const auto known = std::find_if(kinds.begin(), kinds.end(), [&](const auto& k) { return kind == k.first; });
   if (known == kinds.end()) return parsing("unknown aggregation type " + bracketed(kind));
   a.kind = known->second;
@@ -230,26 +231,26 @@
   for (const auto& [key, p] : v.begin().value().items()) {
     if (key == "field" && p.is_string()) {
       a.field = p.get<std::string>();
-    } else if (a.kind == Aggregation::Kind::terms && key == "size" && whole(p, limits.buckets_most) &&
+    } else if (a.kind == Aggregation::Kind::kTerms && key == "size" && whole(p, limits.max_buckets) &&
                p != 0) {
       a.size = p.get<std::size_t>();
-    } else if (a.kind == Aggregation::Kind::terms && key == "shard_size" && whole(p, limits.buckets_most) &&
+    } else if (a.kind == Aggregation::Kind::kTerms && key == "shard_size" && whole(p, limits.max_buckets) &&
                p != 0) {
       a.shard_size = p.get<std::size_t>(), shard_size_said = true;
-    } else if (a.kind == Aggregation::Kind::histogram && key == "interval" && p.is_number() &&
+    } else if (a.kind == Aggregation::Kind::kHistogram && key == "interval" && p.is_number() &&
                p.get<double>() > 0) {
       a.interval = p.get<double>();
-    } else if (a.kind == Aggregation::Kind::histogram && key == "min_doc_count" && whole(p, 1000000000)) {
+    } else if (a.kind == Aggregation::Kind::kHistogram && key == "min_doc_count" && whole(p, 1000000000)) {
       a.min_doc_count = p.get<std::uint64_t>();
     } else {
       return parsing(bracketed(kind) + " aggregation does not support " + bracketed(key) + " so");
     }
   }
   if (a.field.empty()) return illegal("required one of fields [field], but none were specified");
-  if (a.kind == Aggregation::Kind::histogram && a.interval == 0)
+  if (a.kind == Aggregation::Kind::kHistogram && a.interval == 0)
     return illegal("[interval] must be greater than 0");
   // The API's own rule for how many terms each block names: half as many again, and ten.
-  if (!shard_size_said) a.shard_size = std::min(limits.buckets_most, a.size + a.size / 2 + 10);
+  if (!shard_size_said) a.shard_size = std::min(limits.max_buckets, a.size + a.size / 2 + 10);
   a.shard_size = std::max(a.shard_size, a.size);
   s.aggregations.push_back(std::move(a));
   return {};
@@ -261,8 +262,8 @@
     s.query = v;
   } else if (key == "size" || key == "from") {
     if (!v.is_number_unsigned()) return illegal("[" + key + "] parameter must be a whole number from 0 up");
-    if (v.get<std::uint64_t>() > limits.window_most)
-      return illegal("[" + key + "] is past the window of " + std::to_string(limits.window_most));
+    if (v.get<std::uint64_t>() > limits.max_window)
+      return illegal("[" + key + "] is past the window of " + std::to_string(limits.max_window));
     (key == "size" ? s.size : s.from) = v.get<std::size_t>();
   } else if (key == "sort") {
     return read_sort(v, s);
@@ -282,9 +283,9 @@
     s.terminate_after = v.get<std::uint64_t>();
   } else if (key == "track_total_hits") {
     if (v.is_boolean()) {
-      s.counts = s.counts_all = v.get<bool>();
+      s.tracks_total = s.tracks_exact_total = v.get<bool>();
     } else if (v.is_number_unsigned()) {
-      s.counts_all = false, s.counts = true, s.counts_to = v.get<std::uint64_t>();
+      s.tracks_exact_total = false, s.tracks_total = true, s.max_tracked_total = v.get<std::uint64_t>();
     } else {
       return illegal("[track_total_hits] is a truth value or a whole number");
     }
@@ -300,9 +301,9 @@
 }
 
 Maybe cross_check(const Search& s, const Limits& limits) {
-  if (s.window() > limits.window_most)
+  if (s.window() > limits.max_window)
     return illegal("result window is too large, from + size must be less than or equal to: [" +
-                   std::to_string(limits.window_most) + "] but was [" + std::to_string(s.window()) + "]");
+                   std::to_string(limits.max_window) + "] but was [" + std::to_string(s.window()) + "]");
   if (s.search_after.is_null()) return {};
   if (s.from > 0) return illegal("`from` parameter must be set to 0 when `search_after` is used");
   if (s.sort.empty()) return illegal("sort must contain at least one field when using search_after");
@@ -312,7 +313,7 @@
   return {};
 }
 
-Read<Search> from_json(const json& body, const Limits& limits) {
+Parsed<Search> from_json(const json& body, const Limits& limits) {
   if (!body.is_object()) return parsing("a search is an object");
   Search s;
   for (const auto& [key, v] : body.items())
@@ -325,30 +326,30 @@
 
 }  // namespace
 
-std::string error_body(const Fault& f) {
+std::string error_body(const ApiError& f) {
   const json cause{{"type", f.type}, {"reason", f.reason}};
   return json{{"error", {{"root_cause", json::array({cause})}, {"type", f.type}, {"reason", f.reason}}},
               {"status", f.status}}
       .dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-std::optional<Fault> check_query(const json& query, const Limits& limits) {
+std::optional<ApiError> check_query(const json& query, const Limits& limits) {
   return Checker(limits).query(query, 0);
 }
 
-Read<Search> read_search(std::string_view body, const Limits& limits) {
+Parsed<Search> parse_search(std::string_view body, const Limits& limits) {
   if (blank(body)) return Search{};
   json read;
-  if (const char* wrong = read_json(body, read)) return parsing(wrong);
+  if (const char* wrong = parse_json(body, read)) return parsing(wrong);
   return from_json(read, limits);
 }
 
-std::optional<Fault> read_parameter(const std::string& name, const std::string& value, Search& s,
-                                    const Limits& limits) {
+std::optional<ApiError> parse_parameter(const std::string& name, const std::string& value, Search& s,
+                                        const Limits& limits) {
   if (name == "allow_partial_search_results") {
     if (value != "true" && value != "false" && !value.empty())
       return illegal("[allow_partial_search_results] is true or false");
-    s.allow_partial = value != "false";
+    s.allows_partial = value != "false";
     return {};
   }
   if (name == "preference" || name == "routing") {
@@ -358,17 +359,18 @@
   if (name == "size" || name == "from" || name == "terminate_after" || name == "track_total_hits" ||
       name == "timeout") {
     json v;
-    if (name == "timeout" || read_json(value, v)) v = value;
+    if (name == "timeout" || parse_json(value, v)) v = value;
     if (auto f = member(name, v, limits, s)) return f;
     return cross_check(s, limits);
   }
   return illegal("request contains unrecognized parameter: " + bracketed(name));
 }
 
-Read<std::vector<Item>> read_msearch(std::string_view body, const std::string& index, const Limits& limits) {
+Parsed<std::vector<MsearchItem>> parse_msearch(std::string_view body, const std::string& index,
+                                               const Limits& limits) {
   if (!body.empty() && body.back() != '\n')
     return illegal("The msearch request must be terminated by a newline [\\n]");
-  std::vector<Item> items;
+  std::vector<MsearchItem> items;
   while (!body.empty()) {
     const auto line = [&] {
       const auto end = body.find('\n');
@@ -380,14 +382,14 @@
     if (blank(head) && blank(body)) break;
     if (body.empty()) return illegal("a search's header stands without its body");
     const std::string_view search = line();
-    if (items.size() >= limits.items_most)
-      return illegal("more than " + std::to_string(limits.items_most) + " searches in one request");
-    Item item{index, Search{}};
+    if (items.size() >= limits.max_items)
+      return illegal("more than " + std::to_string(limits.max_items) + " searches in one request");
+    MsearchItem item{index, Search{}};
     json h;
-    std::optional<Fault> fault;
+    std::optional<ApiError> fault;
     std::optional<bool> partial;
     if (!blank(head)) {
-      if (const char* wrong = read_json(head, h)) {
+      if (const char* wrong = parse_json(head, h)) {
         fault = parsing(wrong);
       } else if (!h.is_object()) {
         fault = parsing("a search's header is an object");
@@ -407,30 +409,31 @@
     if (fault)
       item.search = *fault;
     else
-      item.search = read_search(search, limits);
-    if (auto* s = std::get_if<Search>(&item.search)) s->allow_partial = partial;
+      item.search = parse_search(search, limits);
+    if (auto* s = std::get_if<Search>(&item.search)) s->allows_partial = partial;
     items.push_back(std::move(item));
   }
   if (items.empty())
-    return Fault{400, "action_request_validation_exception", "Validation Failed: 1: no requests added;"};
+    return ApiError{400, "action_request_validation_exception", "Validation Failed: 1: no requests added;"};
   return items;
 }
 
-Read<std::vector<Get>> read_mget(std::string_view body, const std::string& index, const Limits& limits) {
+Parsed<std::vector<MgetItem>> parse_mget(std::string_view body, const std::string& index,
+                                         const Limits& limits) {
   json read;
-  if (const char* wrong = read_json(body, read)) return parsing(wrong);
+  if (const char* wrong = parse_json(body, read)) return parsing(wrong);
   if (!read.is_object() || read.size() != 1) return parsing("an mget has either [docs] or [ids]");
   const std::string key = read.begin().key();
   const json& list = read.begin().value();
   if ((key != "docs" && key != "ids") || !list.is_array())
     return parsing("unexpected key for an mget: " + bracketed(key));
   if (list.empty())
-    return Fault{400, "action_request_validation_exception", "Validation Failed: 1: no documents to get;"};
-  if (list.size() > limits.items_most)
-    return illegal("more than " + std::to_string(limits.items_most) + " documents in one request");
-  std::vector<Get> gets;
+    return ApiError{400, "action_request_validation_exception", "Validation Failed: 1: no documents to get;"};
+  if (list.size() > limits.max_items)
+    return illegal("more than " + std::to_string(limits.max_items) + " documents in one request");
+  std::vector<MgetItem> gets;
   for (const json& d : list) {
-    Get g{index, ""};
+    MgetItem g{index, ""};
     if (key == "ids") {
       if (!d.is_string()) return parsing("an id is a text");
       g.id = d.get<std::string>();
@@ -444,19 +447,20 @@
     }
     if (g.id.empty() || g.id.size() > 512) return illegal("an id has 1 to 512 bytes");
     if (g.index.empty())
-      return Fault{400, "action_request_validation_exception", "Validation Failed: 1: index is missing;"};
+      return ApiError{400, "action_request_validation_exception", "Validation Failed: 1: index is missing;"};
     gets.push_back(std::move(g));
   }
   return gets;
 }
 
-std::string block_request(const Search& s) {
-  json ask{{"query", s.query}, {"size", s.window()}, {"_source", s.source}, {"track_total_hits", s.counts}};
+std::string shard_search_body(const Search& s) {
+  json ask{
+      {"query", s.query}, {"size", s.window()}, {"_source", s.source}, {"track_total_hits", s.tracks_total}};
   json sort = json::array();
   for (const SortKey& k : s.sort)
-    sort.push_back(
-        {{k.field,
-          {{"order", k.descending ? "desc" : "asc"}, {"missing", k.missing_first ? "_first" : "_last"}}}});
+    sort.push_back({{k.field,
+                     {{"order", k.descending ? "desc" : "asc"},
+                      {"missing", k.puts_missing_first ? "_first" : "_last"}}}});
   if (!s.sort.empty()) ask["sort"] = std::move(sort);
   if (!s.search_after.is_null()) ask["search_after"] = s.search_after;
   if (s.terminate_after > 0) ask["terminate_after"] = s.terminate_after;
@@ -465,15 +469,15 @@
     static const char* names[] = {"terms", "min",         "max",       "sum",
                                   "stats", "value_count", "histogram", "cardinality"};
     json one{{"field", a.field}};
-    if (a.kind == Aggregation::Kind::terms) one["size"] = a.shard_size;
-    if (a.kind == Aggregation::Kind::histogram) one["interval"] = a.interval;
+    if (a.kind == Aggregation::Kind::kTerms) one["size"] = a.shard_size;
+    if (a.kind == Aggregation::Kind::kHistogram) one["interval"] = a.interval;
     aggs[a.name][names[static_cast<int>(a.kind)]] = std::move(one);
   }
   if (!aggs.empty()) ask["aggs"] = std::move(aggs);
   return ask.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-std::string block_get(const std::vector<std::string>& ids) {
+std::string shard_get_body(const std::vector<std::string>& ids) {
   return json{{"query", {{"ids", {{"values", ids}}}}}, {"size", ids.size()}, {"track_total_hits", true}}.dump(
       -1, ' ', false, json::error_handler_t::replace);
 }
--- a/src/opensearch/request.h
+++ b/src/opensearch/request.h
@@ -16,31 +16,31 @@
 namespace cairnhub::opensearch {
 
 struct Limits {
-  std::size_t window_most = 10000;   // from + size
-  std::size_t terms_most = 65536;    // in one terms or ids query
-  std::size_t clauses_most = 1024;   // in one request
-  int depth_most = 20;               // of bool in bool
-  std::size_t buckets_most = 10000;  // asked of a terms aggregation
-  std::size_t items_most = 1000;     // in one _msearch or _mget
+  std::size_t max_window = 10000;   // from + size
+  std::size_t max_terms = 65536;    // in one terms or ids query
+  std::size_t max_clauses = 1024;   // in one request
+  int max_bool_depth = 20;          // of bool in bool
+  std::size_t max_buckets = 10000;  // asked of a terms aggregation
+  std::size_t max_items = 1000;     // in one _msearch or _mget
 };
 
-struct Fault {
+struct ApiError {
   int status = 400;
   std::string type, reason;
 };
 // The API's error body.
-std::string error_body(const Fault& fault);
+std::string error_body(const ApiError& fault);
 
 struct SortKey {
   std::string field;  // "_score" and "_id" too
   bool descending = false;
-  bool missing_first = false;
+  bool puts_missing_first = false;
 };
 
 struct Aggregation {
-  enum class Kind { terms, min, max, sum, avg, value_count, histogram, cardinality };
+  enum class Kind { kTerms, kMin, kMax, kSum, kAvg, kValueCount, kHistogram, kCardinality };
   std::string name, field;
-  Kind kind = Kind::terms;
+  Kind kind = Kind::kTerms;
   std::size_t size = 10;            // terms
   std::size_t shard_size = 25;      // terms: asked of each block
   double interval = 0;              // histogram
@@ -54,39 +54,41 @@
   json search_after;          // null, or as many values as sort keys
   json source = true;         // _source as stated
   std::optional<Time> timeout;
-  std::uint64_t terminate_after = 0;  // a block; 0 = none
-  bool counts_all = true;             // track_total_hits
-  std::uint64_t counts_to = 10000;    // where it doesn't count all
-  bool counts = true;
-  std::optional<bool> allow_partial;
+  std::uint64_t terminate_after = 0;        // a block; 0 = none
+  bool tracks_exact_total = true;           // track_total_hits
+  std::uint64_t max_tracked_total = 10000;  // where it doesn't count all
+  bool tracks_total = true;
+  std::optional<bool> allows_partial;
   std::vector<Aggregation> aggregations;
 
   std::size_t window() const { return from + size; }
 };
 
 template <class T>
-using Read = std::variant<T, Fault>;
+using Parsed = std::variant<T, ApiError>;
 
-Read<Search> read_search(std::string_view body, const Limits& limits);
+Parsed<Search> parse_search(std::string_view body, const Limits& limits);
 // Parameters of the URL that stand for members of the body (size, from, ...). False, with a fault, for an
 // unknown one.
-std::optional<Fault> read_parameter(const std::string& name, const std::string& value, Search& into,
-                                    const Limits&);
-std::optional<Fault> check_query(const json& query, const Limits& limits);
+std::optional<ApiError> parse_parameter(const std::string& name, const std::string& value, Search& into,
+                                        const Limits&);
+std::optional<ApiError> check_query(const json& query, const Limits& limits);
 
-struct Item {  // of _msearch: its own fault is its own answer
+struct MsearchItem {  // of _msearch: its own fault is its own answer
   std::string index;
-  Read<Search> search;
+  Parsed<Search> search;
 };
-Read<std::vector<Item>> read_msearch(std::string_view body, const std::string& index, const Limits& limits);
+Parsed<std::vector<MsearchItem>> parse_msearch(std::string_view body, const std::string& index,
+                                               const Limits& limits);
 
-struct Get {
+struct MgetItem {
   std::string index, id;
 };
-Read<std::vector<Get>> read_mget(std::string_view body, const std::string& index, const Limits& limits);
+Parsed<std::vector<MgetItem>> parse_mget(std::string_view body, const std::string& index,
+                                         const Limits& limits);
 
 // What a block is asked, so that its best window and the block's order are enough for the whole.
-std::string block_request(const Search& search);
-std::string block_get(const std::vector<std::string>& ids);
+std::string shard_search_body(const Search& search);
+std::string shard_get_body(const std::vector<std::string>& ids);
 
 }  // namespace cairnhub::opensearch
--- a/src/opensearch/response.h
+++ b/src/opensearch/response.h
@@ -10,41 +10,41 @@
 namespace cairnhub::opensearch {
 
 // Why a block is not in.
-struct Failure {
+struct ShardFailure {
   std::string index;
-  int block = 0;
+  int shard = 0;
   std::string node;  // empty: none was sent to
-  enum class How {
-    no_holder,      // nothing could be sent
-    not_connected,  // surely not run
-    rejected,       // turned away by the node: surely not run
-    broken,         // may have run
-    timed_out,      // may have run, or may yet
-    error,          // the node's own word: may have run
-    unusable,       // an answer that can't be used: has run
-  } how = How::no_holder;
+  enum class Kind {
+    kNoReplica,      // nothing could be sent
+    kNotConnected,   // surely not run
+    kRejected,       // turned away by the node: surely not run
+    kDisconnected,   // may have run
+    kTimedOut,       // may have run, or may yet
+    kError,          // the node's own word: may have run
+    kInvalidAnswer,  // an answer that can't be used: has run
+  } kind = Kind::kNoReplica;
   std::string detail;  // unusable: what is wrong
 };
-bool surely_not_run(Failure::How how);
+bool is_known_not_run(ShardFailure::Kind how);
 
-struct Shards {
+struct ShardSummary {
   int total = 0;    // blocks of the indices asked
   int skipped = 0;  // not needed, as any n of them make a whole answer
-  std::vector<Failure> failures;
+  std::vector<ShardFailure> failures;
 };
 
-json shards_json(const Shards& shards);
+json shards_json(const ShardSummary& shards);
 
 // One search's answer. `whole`: as the core says.
-struct Outcome {
+struct ApiResponse {
   int status = 200;
   std::string body;
 };
-Outcome search_answer(const Search& search, const Merged& merged, const Shards& shards, bool whole,
-                      std::int64_t took_ms);
-Outcome count_answer(const Merged& merged, const Shards& shards, bool whole);
-Outcome pushed_back();                 // 429
-Outcome failed(const Shards& shards);  // 503: nothing that may be answered
-Outcome fault(const Fault& fault);
+ApiResponse search_response(const Search& search, const MergedResult& merged, const ShardSummary& shards,
+                            bool whole, std::int64_t took_ms);
+ApiResponse count_response(const MergedResult& merged, const ShardSummary& shards, bool whole);
+ApiResponse too_many_requests_response();                            // 429
+ApiResponse all_shards_failed_response(const ShardSummary& shards);  // 503: nothing that may be answered
+ApiResponse error_response(const ApiError& fault);
 
 }  // namespace cairnhub::opensearch
--- a/src/opensearch/sketch.cpp
+++ b/src/opensearch/sketch.cpp
@@ -8,19 +8,20 @@
 
 namespace cairnhub::opensearch {
 
-void Distinct::add(std::string_view value) {
+void DistinctCountSketch::add(std::string_view value) {
   const std::uint64_t h = XXH64(value.data(), value.size(), 0);
-  const std::uint64_t rest = (h << kBits) | (std::uint64_t{1} << (kBits - 1));  // never without a one
-  auto& r = registers_[h >> (64 - kBits)];
+  const std::uint64_t rest =
+      (h << kIndexBits) | (std::uint64_t{1} << (kIndexBits - 1));  // never without a one
+  auto& r = registers_[h >> (64 - kIndexBits)];
   r = std::max(r, static_cast<std::uint8_t>(std::countl_zero(rest) + 1));
 }
 
-void Distinct::merge(const Distinct& o) {
-  for (std::size_t i = 0; i < kRegisters; ++i) registers_[i] = std::max(registers_[i], o.registers_[i]);
+void DistinctCountSketch::merge(const DistinctCountSketch& o) {
+  for (std::size_t i = 0; i < kRegisterCount; ++i) registers_[i] = std::max(registers_[i], o.registers_[i]);
 }
 
-double Distinct::estimate() const {
-  constexpr double m = kRegisters;
+double DistinctCountSketch::estimate() const {
+  constexpr double m = kRegisterCount;
   double sum = 0;
   int zeros = 0;
   for (const auto r : registers_) sum += std::ldexp(1.0, -r), zeros += r == 0;
@@ -28,21 +29,21 @@
   return raw <= 2.5 * m && zeros > 0 ? m * std::log(m / zeros) : raw;
 }
 
-std::string Distinct::text() const {
+std::string DistinctCountSketch::to_hex() const {
   static const char digits[] = "0123456789abcdef";
   std::string out;
   for (const auto r : registers_) out += digits[r >> 4], out += digits[r & 15];
   return out;
 }
 
-bool Distinct::read(std::string_view text, Distinct& into) {
-  if (text.size() != 2 * kRegisters) return false;
+bool DistinctCountSketch::parse_hex(std::string_view text, DistinctCountSketch& into) {
+  if (text.size() != 2 * kRegisterCount) return false;
   const auto digit = [](char c) {
     return c >= '0' && c <= '9' ? c - '0' : c >= 'a' && c <= 'f' ? c - 'a' + 10 : -1;
   };
-  for (std::size_t i = 0; i < kRegisters; ++i) {
+  for (std::size_t i = 0; i < kRegisterCount; ++i) {
     const int high = digit(text[2 * i]), low = digit(text[2 * i + 1]);
-    if (high < 0 || low < 0 || 16 * high + low > 64 - kBits + 1) return false;
+    if (high < 0 || low < 0 || 16 * high + low > 64 - kIndexBits + 1) return false;
     into.registers_[i] = static_cast<std::uint8_t>(16 * high + low);
   }
   return true;
--- a/src/opensearch/sketch.h
+++ b/src/opensearch/sketch.h
@@ -9,20 +9,20 @@
 
 namespace cairnhub::opensearch {
 
-class Distinct {
+class DistinctCountSketch {
  public:
-  static constexpr int kBits = 11;
-  static constexpr std::size_t kRegisters = std::size_t{1} << kBits;
+  static constexpr int kIndexBits = 11;
+  static constexpr std::size_t kRegisterCount = std::size_t{1} << kIndexBits;
   static constexpr double kStandardError = 0.023;
 
   void add(std::string_view value);
-  void merge(const Distinct& other);
+  void merge(const DistinctCountSketch& other);
   double estimate() const;
-  std::string text() const;  // a hex pair a register
-  static bool read(std::string_view text, Distinct& into);
+  std::string to_hex() const;  // a hex pair a register
+  static bool parse_hex(std::string_view text, DistinctCountSketch& into);
 
  private:
-  std::array<std::uint8_t, kRegisters> registers_{};
+  std::array<std::uint8_t, kRegisterCount> registers_{};
 };
 
 }  // namespace cairnhub::opensearch
--- a/tests/search.cpp
+++ b/tests/search.cpp
@@ -324,18 +324,18 @@
   os::Aggregation a;
   a.name = "m", a.field = "market";
   s.aggregations.push_back(a);
-  const std::string sound = block_answer(data, "r", 1, json::parse(os::block_request(s)));
-  os::BlockAnswer good;
-  std::printf("sound: %s\n", os::read_answer(sound, s, "r", 1, good) ? "refused" : "read");
+  const std::string sound = block_answer(data, "r", 1, json::parse(os::shard_search_body(s)));
+  os::ShardAnswer good;
+  std::printf("sound: %s\n", os::parse_shard_answer(sound, s, "r", 1, good) ? "refused" : "read");
   std::size_t taken = 0;
   for (std::size_t n = 0; n < sound.size(); ++n) {
-    os::BlockAnswer into;
-    taken += os::read_answer(std::string_view(sound).substr(0, n), s, "r", 1, into) == nullptr;
+    os::ShardAnswer into;
+    taken += os::parse_shard_answer(std::string_view(sound).substr(0, n), s, "r", 1, into) == nullptr;
   }
   std::printf("cut at each of %s bytes: %zu taken\n", sound.size() > 500 ? "many" : "few", taken);
   for (const int block : {0, 2}) {
-    os::BlockAnswer into;
-    std::printf("as of block %d: %s\n", block, os::read_answer(sound, s, "r", block, into));
+    os::ShardAnswer into;
+    std::printf("as of block %d: %s\n", block, os::parse_shard_answer(sound, s, "r", block, into));
   }
 }
 
--- a/tests/stand_ins/search_data.cpp
+++ b/tests/stand_ins/search_data.cpp
@@ -179,7 +179,7 @@
     const json& how = a.begin().value();
     std::map<json, std::uint64_t> counts;
     std::vector<double> numbers;
-    opensearch::Distinct distinct;
+    opensearch::DistinctCountSketch distinct;
     std::uint64_t n = 0;
     for (const json* d : docs)
       if (const json* v = field(*d, how["field"])) {
@@ -209,7 +209,7 @@
       for (const auto& [key, c] : bars) buckets.push_back({{"key", key}, {"doc_count", c}});
       one = {{"buckets", buckets}};
     } else if (kind == "cardinality") {
-      one = {{"value", counts.size()}, {"sketch", distinct.text()}};
+      one = {{"value", counts.size()}, {"sketch", distinct.to_hex()}};
     } else if (kind == "value_count") {
       one = {{"value", n}};
     } else if (kind == "stats") {
