--- a/src/opensearch/json.h
+++ b/src/opensearch/json.h
@@ -1,5 +1,5 @@
-// JSON as an outside party sends it, read strictly: a key twice, nesting past a bound, numbers beyond a
-// double and invalid UTF-8 are faults, each said in plain words. RFC 8259. No I/O.
+// Strict parsing of JSON (RFC 8259) from untrusted sources. Rejects duplicate keys, excessive nesting,
+// numbers that a double can't represent and invalid UTF-8. No I/O.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <string_view>
@@ -9,10 +9,12 @@
 using json = nlohmann::ordered_json;
 
 constexpr int kMaxJsonDepth = 64;
+// Limits the memory of a parsed document: many small values take fifty times their size in the text.
+constexpr std::size_t kMaxJsonValues = 400000;
 
-// What is wrong with the text, or null. `most_values`: of all kinds together; danger: a small body of many
-// tiny values takes fifty times its size in memory.
-const char* parse_json(std::string_view text, json& into, int deepest = kMaxJsonDepth,
-                       std::size_t most_values = 400000);
+// Parses `text` into `into`. Returns null, or a description of the error. `max_values` limits the values of
+// all kinds together, including objects and arrays.
+const char* parse_json(std::string_view text, json& into, int max_depth = kMaxJsonDepth,
+                       std::size_t max_values = kMaxJsonValues);
 
 }  // namespace cairnhub::opensearch
--- a/src/opensearch/merge.h
+++ b/src/opensearch/merge.h
@@ -1,9 +1,10 @@
-// Blocks' answers made one: the best window over all of them, totals and aggregations. No I/O.
+// Merges the answers of shards into one page of hits, a total and aggregations. No I/O.
 //
-// Order: score or sort values, then block, then id. The window is found by a heap of the blocks' next hits,
-// without a look at the rest. Totals are exact only where every block is in and each said so; else `gte`.
-// Aggregations: `terms` carries the API's error bounds, `sum` and `avg` are summed with compensation (Kahan
-// 1965) in the order of blocks so that the same answers give the same bytes, `cardinality` merges sketches.
+// Hits are ordered by score or sort values, then shard, then id. A heap of each shard's next hit finds the
+// page without reading further hits. A total is exact only if every shard of the index has answered with an
+// exact total; otherwise its relation is `gte`. `terms` aggregations carry the error bounds of the API. `sum`
+// and `avg` use compensated summation (Kahan 1965) in the order of shards, so that the same answers give the
+// same bytes. `cardinality` merges sketches.
 #pragma once
 #include <optional>
 #include <string>
@@ -23,18 +24,19 @@
     int shard;
     const Hit* hit;
   };
-  std::vector<RankedHit> page;  // after `from`
+  std::vector<RankedHit> page;  // without the first `from` hits
   std::uint64_t total = 0;
-  bool total_exact = true;
-  std::optional<double> max_score;
+  bool is_total_exact = true;
+  std::optional<double> max_score;  // unset if the search sorts by fields, or no hit is in the window
   json aggregations = json::object();
 };
 
-// `all_in`: every block of the index is. Parts in order of block. A fault where aggregations can't be made.
-Parsed<MergedResult> merge(const Search& search, const std::vector<MergeInput>& parts, bool all_in);
+// Merges `inputs`, which are in order of shard. `has_all_shards`: every shard of the index has answered.
+// Returns an error if an aggregation can't be merged. The result points into the answers.
+Parsed<MergedResult> merge(const Search& search, const std::vector<MergeInput>& inputs, bool has_all_shards);
 
-// The plain way, to compare with: all hits together, sorted.
+// Returns the same page by sorting all hits; the reference that merge() is compared with.
 std::vector<MergedResult::RankedHit> merge_by_sorting(const Search& search,
-                                                      const std::vector<MergeInput>& parts);
+                                                      const std::vector<MergeInput>& inputs);
 
 }  // namespace cairnhub::opensearch
--- a/src/opensearch/request.cpp
+++ b/src/opensearch/request.cpp
@@ -10,211 +10,260 @@
 
 namespace {
 
-ApiError parsing(std::string reason) { return {400, "parsing_exception", std::move(reason)}; }
-ApiError illegal(std::string reason) { return {400, "illegal_argument_exception", std::move(reason)}; }
-std::string bracketed(const std::string& s) { return "[" + s.substr(0, 80) + "]"; }
+constexpr std::size_t kMaxQuotedBytes = 80;  // of a client's text in an error message
+constexpr std::size_t kMaxSortKeys = 16;
+constexpr std::size_t kMaxAggregations = 64;
+constexpr std::size_t kMaxIdBytes = 512;
+constexpr std::uint64_t kMaxMinDocCount = 1000000000;
+constexpr std::uint64_t kMaxTerminateAfter = 1000000000000;
 
-// A plain value that a field can be compared with.
-bool plain(const json& v) { return v.is_string() || v.is_number() || v.is_boolean(); }
-bool whole(const json& v, std::uint64_t most) {
-  return v.is_number_unsigned() && v.get<std::uint64_t>() <= most;
+ApiError parsing_error(std::string reason) { return {400, "parsing_exception", std::move(reason)}; }
+ApiError argument_error(std::string reason) { return {400, "illegal_argument_exception", std::move(reason)}; }
+std::string bracketed(const std::string& text) { return "[" + text.substr(0, kMaxQuotedBytes) + "]"; }
+
+// Whether a field can be compared with the value.
+bool is_scalar(const json& value) { return value.is_string() || value.is_number() || value.is_boolean(); }
+bool is_integer_up_to(const json& value, std::uint64_t max) {
+  return value.is_number_unsigned() && value.get<std::uint64_t>() <= max;
 }
 
-// Members of an object, each known and read by what is given for it.
-using Maybe = std::optional<ApiError>;
+using MaybeError = std::optional<ApiError>;
 
-class Checker {
+// Validates a query. Every member of every clause must be known.
+class QueryChecker {
  public:
-  explicit Checker(const Limits& limits) : limits_(limits), clauses_left_(limits.max_clauses) {}
+  explicit QueryChecker(const Limits& limits) : limits_(limits), clauses_left_(limits.max_clauses) {}
 
-  Maybe query(const json& q, int depth) {
-    if (depth > limits_.max_bool_depth)
-      return illegal("bool queries nested deeper than " + std::to_string(limits_.max_bool_depth));
-    if (clauses_left_-- == 0)
+  // `depth`: the number of bool queries around this one.
+  MaybeError check(const json& query, int depth) {
+    if (depth > limits_.max_bool_depth) {
+      return argument_error("bool queries nested deeper than " + std::to_string(limits_.max_bool_depth));
+    }
+    if (clauses_left_-- == 0) {
       return ApiError{400, "too_many_clauses",
                       "more than " + std::to_string(limits_.max_clauses) + " clauses"};
-    if (!q.is_object() || q.size() != 1) return parsing("a query is an object with one key, its kind");
-    const std::string kind = q.begin().key();
-    const json& body = q.begin().value();
-    if (!body.is_object()) return parsing(bracketed(kind) + " query malformed, an object is needed");
-    if (kind == "match_all") return members(body, kind, {"boost"});
-    if (kind == "term" || kind == "prefix")
-      return on_field(kind, body, "value", [](const json& v) { return plain(v); });
-    if (kind == "terms") return terms(body);
-    if (kind == "ids") return ids(body);
-    if (kind == "exists") return exists(body);
-    if (kind == "range") return range(body);
-    if (kind == "bool") return boolean(body, depth);
-    return parsing("unknown query " + bracketed(kind));
+    }
+    if (!query.is_object() || query.size() != 1) {
+      return parsing_error("a query is an object with one key, its kind");
+    }
+    const std::string kind = query.begin().key();
+    const json& body = query.begin().value();
+    if (!body.is_object()) return parsing_error(bracketed(kind) + " query malformed, an object is needed");
+    if (kind == "match_all") return check_members(body, kind, {"boost"});
+    if (kind == "term" || kind == "prefix") {
+      return check_field_query(kind, body, "value", [](const json& value) { return is_scalar(value); });
+    }
+    if (kind == "terms") return check_terms(body);
+    if (kind == "ids") return check_ids(body);
+    if (kind == "exists") return check_exists(body);
+    if (kind == "range") return check_range(body);
+    if (kind == "bool") return check_bool(body, depth);
+    return parsing_error("unknown query " + bracketed(kind));
   }
 
  private:
-  Maybe boost(const json& body) {
-    const auto b = body.find("boost");
-    if (b != body.end() && (!b->is_number() || b->get<double>() < 0))
-      return illegal("[boost] is a number from 0 up");
+  MaybeError check_boost(const json& body) {
+    const auto boost = body.find("boost");
+    if (boost != body.end() && (!boost->is_number() || boost->get<double>() < 0)) {
+      return argument_error("[boost] is a number from 0 up");
+    }
     return {};
   }
-  Maybe members(const json& body, const std::string& kind, std::initializer_list<const char*> known) {
-    for (const auto& [key, v] : body.items())
-      if (std::find_if(known.begin(), known.end(), [&, k = key](const char* n) { return k == n; }) ==
-          known.end())
-        return parsing(bracketed(kind) + " query does not support " + bracketed(key));
-    return boost(body);
-  }
-  template <class F>
-  Maybe on_field(const std::string& kind, const json& body, const char* key, F good) {
-    if (body.size() != 1) return parsing(bracketed(kind) + " query is on one field");
-    if (body.begin().key().empty()) return illegal("field name is null or empty");
-    const json& v = body.begin().value();
-    if (good(v)) return {};
-    if (!v.is_object() || !v.contains(key) || !good(v[key]))
-      return parsing(bracketed(kind) + " query malformed, no value");
-    return members(v, kind, {key, "boost"});
-  }
-  Maybe list(const std::string& kind, const json& v) {
-    if (!v.is_array()) return parsing(bracketed(kind) + " query needs a list of values");
-    if (v.size() > limits_.max_terms)
-      return illegal("the number of terms " + std::to_string(v.size()) +
-                     " has exceeded the allowed maximum of " + std::to_string(limits_.max_terms));
-    for (const json& one : v)
-      if (!plain(one)) return parsing(bracketed(kind) + " query: a value is no text, number or truth value");
+  MaybeError check_members(const json& body, const std::string& kind,
+                           std::initializer_list<const char*> known_keys) {
+    for (const auto& [key, value] : body.items()) {
+      if (std::find_if(known_keys.begin(), known_keys.end(),
+                       [&, k = key](const char* known) { return k == known; }) == known_keys.end()) {
+        return parsing_error(bracketed(kind) + " query does not support " + bracketed(key));
+      }
+    }
+    return check_boost(body);
+  }
+  // Checks a query on one field, which states its value directly or in the member `value_key` of an object.
+  template <class Predicate>
+  MaybeError check_field_query(const std::string& kind, const json& body, const char* value_key,
+                               Predicate is_valid) {
+    if (body.size() != 1) return parsing_error(bracketed(kind) + " query is on one field");
+    if (body.begin().key().empty()) return argument_error("field name is null or empty");
+    const json& value = body.begin().value();
+    if (is_valid(value)) return {};
+    if (!value.is_object() || !value.contains(value_key) || !is_valid(value[value_key])) {
+      return parsing_error(bracketed(kind) + " query malformed, no value");
+    }
+    return check_members(value, kind, {value_key, "boost"});
+  }
+  MaybeError check_values(const std::string& kind, const json& values) {
+    if (!values.is_array()) return parsing_error(bracketed(kind) + " query needs a list of values");
+    if (values.size() > limits_.max_terms) {
+      return argument_error("the number of terms " + std::to_string(values.size()) +
+                            " has exceeded the allowed maximum of " + std::to_string(limits_.max_terms));
+    }
+    for (const json& value : values) {
+      if (!is_scalar(value)) {
+        return parsing_error(bracketed(kind) + " query: a value is no text, number or truth value");
+      }
+    }
     return {};
   }
-  Maybe terms(const json& body) {
+  MaybeError check_terms(const json& body) {
     int fields = 0;
-    for (const auto& [key, v] : body.items()) {
+    for (const auto& [key, values] : body.items()) {
       if (key == "boost") continue;
-      if (++fields > 1) return parsing("[terms] query is on one field");
-      if (auto f = list("terms", v)) return f;
+      if (++fields > 1) return parsing_error("[terms] query is on one field");
+      if (auto error = check_values("terms", values)) return error;
+    }
+    if (fields == 0) return parsing_error("[terms] query requires a field name");
+    return check_boost(body);
+  }
+  MaybeError check_ids(const json& body) {
+    if (!body.contains("values")) return parsing_error("[ids] requires providing a values key");
+    if (auto error = check_values("ids", body["values"])) return error;
+    for (const json& value : body["values"]) {
+      if (!value.is_string()) return parsing_error("[ids] values are texts");
     }
-    if (fields == 0) return parsing("[terms] query requires a field name");
-    return boost(body);
-  }
-  Maybe ids(const json& body) {
-    if (!body.contains("values")) return parsing("[ids] requires providing a values key");
-    if (auto f = list("ids", body["values"])) return f;
-    for (const json& v : body["values"])
-      if (!v.is_string()) return parsing("[ids] values are texts");
-    return members(body, "ids", {"values", "boost"});
-  }
-  Maybe exists(const json& body) {
-    if (!body.contains("field") || !body["field"].is_string())
-      return parsing("[exists] must be provided with a [field]");
-    return members(body, "exists", {"field", "boost"});
-  }
-  Maybe range(const json& body) {
-    if (body.size() != 1 || !body.begin().value().is_object())
-      return parsing("[range] query is on one field");
-    for (const auto& [key, v] : body.begin().value().items()) {
+    return check_members(body, "ids", {"values", "boost"});
+  }
+  MaybeError check_exists(const json& body) {
+    if (!body.contains("field") || !body["field"].is_string()) {
+      return parsing_error("[exists] must be provided with a [field]");
+    }
+    return check_members(body, "exists", {"field", "boost"});
+  }
+  MaybeError check_range(const json& body) {
+    if (body.size() != 1 || !body.begin().value().is_object()) {
+      return parsing_error("[range] query is on one field");
+    }
+    for (const auto& [key, bound] : body.begin().value().items()) {
       if (key == "boost") continue;
-      if (key != "gt" && key != "gte" && key != "lt" && key != "lte")
-        return parsing("[range] query does not support " + bracketed(key));
-      if (!v.is_string() && !v.is_number()) return parsing("[range] query: a bound is a number or a text");
+      if (key != "gt" && key != "gte" && key != "lt" && key != "lte") {
+        return parsing_error("[range] query does not support " + bracketed(key));
+      }
+      if (!bound.is_string() && !bound.is_number()) {
+        return parsing_error("[range] query: a bound is a number or a text");
+      }
     }
-    return boost(body.begin().value());
+    return check_boost(body.begin().value());
   }
-  Maybe boolean(const json& body, int depth) {
-    for (const auto& [key, v] : body.items()) {
+  MaybeError check_bool(const json& body, int depth) {
+    for (const auto& [key, value] : body.items()) {
       if (key == "boost") continue;
       if (key == "minimum_should_match") {
-        if (!whole(v, limits_.max_clauses)) return illegal("[minimum_should_match] is a whole number here");
+        if (!is_integer_up_to(value, limits_.max_clauses)) {
+          return argument_error("[minimum_should_match] is a whole number here");
+        }
         continue;
       }
-      if (key != "must" && key != "should" && key != "filter" && key != "must_not")
-        return parsing("[bool] query does not support " + bracketed(key));
-      if (v.is_array()) {
-        for (const json& clause : v)
-          if (auto f = query(clause, depth + 1)) return f;
-      } else if (auto f = query(v, depth + 1)) {
-        return f;
+      if (key != "must" && key != "should" && key != "filter" && key != "must_not") {
+        return parsing_error("[bool] query does not support " + bracketed(key));
+      }
+      if (value.is_array()) {
+        for (const json& clause : value) {
+          if (auto error = check(clause, depth + 1)) return error;
+        }
+      } else if (auto error = check(value, depth + 1)) {
+        return error;
       }
     }
-    return boost(body);
+    return check_boost(body);
   }
 
   const Limits& limits_;
   std::size_t clauses_left_;
 };
 
-std::optional<Time> time_value(const json& v) {
-  if (!v.is_string()) return std::nullopt;
-  const std::string t = v.get<std::string>();
+// Parses a duration such as "400ms".
+std::optional<Time> parse_duration(const json& value) {
+  if (!value.is_string()) return std::nullopt;
+  const std::string text = value.get<std::string>();
   double number = 0;
-  const auto [end, error] = std::from_chars(t.data(), t.data() + t.size(), number);
-  const std::string unit(end, t.data() + t.size());
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
+  const std::string unit(end, text.data() + text.size());
   if (error != std::errc{} || !(number > 0) || number > 1e9) return std::nullopt;
-  const double ns = unit == "ms" ? 1e6 : unit == "s" ? 1e9 : unit == "m" ? 6e10 : unit == "micros" ? 1e3 : 0;
-  if (ns == 0 || number * ns > 1e18) return std::nullopt;
-  return static_cast<Time>(number * ns);
+  const double unit_ns = unit == "ms"       ? 1e6
+                         : unit == "s"      ? 1e9
+                         : unit == "m"      ? 6e10
+                         : unit == "micros" ? 1e3
+                                            : 0;
+  if (unit_ns == 0 || number * unit_ns > 1e18) return std::nullopt;
+  return static_cast<Time>(number * unit_ns);
 }
 
-Maybe sort_key(const json& v, std::vector<SortKey>& into) {
-  SortKey k;
-  if (v.is_string()) {
-    k.field = v.get<std::string>();
-    k.descending = k.field == "_score";
-  } else if (v.is_object() && v.size() == 1) {
-    k.field = v.begin().key();
-    k.descending = k.field == "_score";
-    const json& how = v.begin().value();
-    const auto order = [&](const json& o) {
-      if (o != "asc" && o != "desc") return false;
-      k.descending = o == "desc";
+MaybeError parse_sort_key(const json& value, std::vector<SortKey>& into) {
+  SortKey sort_key;
+  if (value.is_string()) {
+    sort_key.field = value.get<std::string>();
+    sort_key.is_descending = sort_key.field == "_score";
+  } else if (value.is_object() && value.size() == 1) {
+    sort_key.field = value.begin().key();
+    sort_key.is_descending = sort_key.field == "_score";
+    const json& settings = value.begin().value();
+    const auto parse_order = [&](const json& order) {
+      if (order != "asc" && order != "desc") return false;
+      sort_key.is_descending = order == "desc";
       return true;
     };
-    if (how.is_string()) {
-      if (!order(how)) return illegal("unknown sort order, must be [asc] or [desc]");
-    } else if (how.is_object()) {
-      for (const auto& [key, o] : how.items()) {
-        if (key == "order" ? !order(o) : key == "missing" ? (o != "_first" && o != "_last") : true)
-          return illegal("[sort] on " + bracketed(k.field) + " does not support " + bracketed(key) + " so");
-        if (key == "missing") k.puts_missing_first = o == "_first";
+    if (settings.is_string()) {
+      if (!parse_order(settings)) return argument_error("unknown sort order, must be [asc] or [desc]");
+    } else if (settings.is_object()) {
+      for (const auto& [key, setting] : settings.items()) {
+        if (key == "order"     ? !parse_order(setting)
+            : key == "missing" ? (setting != "_first" && setting != "_last")
+                               : true) {
+          return argument_error("[sort] on " + bracketed(sort_key.field) + " does not support " +
+                                bracketed(key) + " so");
+        }
+        if (key == "missing") sort_key.puts_missing_first = setting == "_first";
       }
     } else {
-      return parsing("[sort] malformed");
+      return parsing_error("[sort] malformed");
     }
   } else {
-    return parsing("[sort] malformed");
+    return parsing_error("[sort] malformed");
   }
-  if (k.field.empty()) return illegal("[sort] on no field");
-  into.push_back(std::move(k));
+  if (sort_key.field.empty()) return argument_error("[sort] on no field");
+  into.push_back(std::move(sort_key));
   return {};
 }
 
-Maybe read_sort(const json& v, Search& s) {
-  if (!v.is_array()) return sort_key(v, s.sort);
-  if (v.size() > 16) return illegal("[sort] on more than 16 fields");
-  for (const json& k : v)
-    if (auto f = sort_key(k, s.sort)) return f;
+MaybeError parse_sort(const json& value, Search& search) {
+  if (!value.is_array()) return parse_sort_key(value, search.sort);
+  if (value.size() > kMaxSortKeys) return argument_error("[sort] on more than 16 fields");
+  for (const json& sort_key : value) {
+    if (auto error = parse_sort_key(sort_key, search.sort)) return error;
+  }
   return {};
 }
 
-Maybe read_source(const json& v, Search& s) {
-  const auto texts = [](const json& l) {
-    return l.is_string() ||
-           (l.is_array() && std::all_of(l.begin(), l.end(), [](const json& t) { return t.is_string(); }));
+MaybeError parse_source(const json& value, Search& search) {
+  const auto holds_names = [](const json& names) {
+    return names.is_string() ||
+           (names.is_array() &&
+            std::all_of(names.begin(), names.end(), [](const json& name) { return name.is_string(); }));
   };
-  bool good = v.is_boolean() || texts(v);
-  if (v.is_object()) {
-    good = true;
-    for (const auto& [key, l] : v.items())
-      good = good && (key == "includes" || key == "excludes") && texts(l);
-  }
-  if (!good) return parsing("[_source] is a truth value, names, or includes and excludes");
-  s.source = v;
+  bool is_valid = value.is_boolean() || holds_names(value);
+  if (value.is_object()) {
+    is_valid = true;
+    for (const auto& [key, names] : value.items()) {
+      is_valid = is_valid && (key == "includes" || key == "excludes") && holds_names(names);
+    }
+  }
+  if (!is_valid) return parsing_error("[_source] is a truth value, names, or includes and excludes");
+  search.source = value;
   return {};
 }
 
-Maybe read_aggregation(const std::string& name, const json& v, const Limits& limits, Search& s) {
-  if (name.empty() || name.find_first_of("[]>") != std::string::npos)
-    return parsing("invalid aggregation name " + bracketed(name));
-  if (!v.is_object() || v.size() != 1 || !v.begin().value().is_object())
-    return parsing("aggregation " + bracketed(name) +
-                   " needs one kind, and no sub-aggregations are supported");
-  Aggregation a;
-  a.name = name;
-  const std::string kind = v.begin().key();
+MaybeError parse_aggregation(const std::string& name, const json& value, const Limits& limits,
+                             Search& search) {
+  if (name.empty() || name.find_first_of("[]>") != std::string::npos) {
+    return parsing_error("invalid aggregation name " + bracketed(name));
+  }
+  if (!value.is_object() || value.size() != 1 || !value.begin().value().is_object()) {
+    return parsing_error("aggregation " + bracketed(name) +
+                         " needs one kind, and no sub-aggregations are supported");
+  }
+  Aggregation aggregation;
+  aggregation.name = name;
+  const std::string kind = value.begin().key();
   static const std::vector<std::pair<const char*, Aggregation::Kind>> kinds = {
       {"terms", Aggregation::Kind::kTerms},
       {"min", Aggregation::Kind::kMin},
@@ -224,257 +273,306 @@
       {"value_count", Aggregation::Kind::kValueCount},
       {"histogram", Aggregation::Kind::kHistogram},
       {"cardinality", Aggregation::Kind::kCardinality}};
-  const auto known = std::find_if(kinds.begin(), kinds.end(), [&](const auto& k) { return kind == k.first; });
-  if (known == kinds.end()) return parsing("unknown aggregation type " + bracketed(kind));
-  a.kind = known->second;
-  bool shard_size_said = false;
-  for (const auto& [key, p] : v.begin().value().items()) {
-    if (key == "field" && p.is_string()) {
-      a.field = p.get<std::string>();
-    } else if (a.kind == Aggregation::Kind::kTerms && key == "size" && whole(p, limits.max_buckets) &&
-               p != 0) {
-      a.size = p.get<std::size_t>();
-    } else if (a.kind == Aggregation::Kind::kTerms && key == "shard_size" && whole(p, limits.max_buckets) &&
-               p != 0) {
-      a.shard_size = p.get<std::size_t>(), shard_size_said = true;
-    } else if (a.kind == Aggregation::Kind::kHistogram && key == "interval" && p.is_number() &&
-               p.get<double>() > 0) {
-      a.interval = p.get<double>();
-    } else if (a.kind == Aggregation::Kind::kHistogram && key == "min_doc_count" && whole(p, 1000000000)) {
-      a.min_doc_count = p.get<std::uint64_t>();
+  const auto known =
+      std::find_if(kinds.begin(), kinds.end(), [&](const auto& entry) { return kind == entry.first; });
+  if (known == kinds.end()) return parsing_error("unknown aggregation type " + bracketed(kind));
+  aggregation.kind = known->second;
+  const bool is_terms = aggregation.kind == Aggregation::Kind::kTerms;
+  const bool is_histogram = aggregation.kind == Aggregation::Kind::kHistogram;
+  bool has_shard_size = false;
+  for (const auto& [key, parameter] : value.begin().value().items()) {
+    if (key == "field" && parameter.is_string()) {
+      aggregation.field = parameter.get<std::string>();
+    } else if (is_terms && key == "size" && is_integer_up_to(parameter, limits.max_buckets) &&
+               parameter != 0) {
+      aggregation.size = parameter.get<std::size_t>();
+    } else if (is_terms && key == "shard_size" && is_integer_up_to(parameter, limits.max_buckets) &&
+               parameter != 0) {
+      aggregation.shard_size = parameter.get<std::size_t>();
+      has_shard_size = true;
+    } else if (is_histogram && key == "interval" && parameter.is_number() && parameter.get<double>() > 0) {
+      aggregation.interval = parameter.get<double>();
+    } else if (is_histogram && key == "min_doc_count" && is_integer_up_to(parameter, kMaxMinDocCount)) {
+      aggregation.min_doc_count = parameter.get<std::uint64_t>();
     } else {
-      return parsing(bracketed(kind) + " aggregation does not support " + bracketed(key) + " so");
+      return parsing_error(bracketed(kind) + " aggregation does not support " + bracketed(key) + " so");
     }
   }
-  if (a.field.empty()) return illegal("required one of fields [field], but none were specified");
-  if (a.kind == Aggregation::Kind::kHistogram && a.interval == 0)
-    return illegal("[interval] must be greater than 0");
-  // The API's own rule for how many terms each block names: half as many again, and ten.
-  if (!shard_size_said) a.shard_size = std::min(limits.max_buckets, a.size + a.size / 2 + 10);
-  a.shard_size = std::max(a.shard_size, a.size);
-  s.aggregations.push_back(std::move(a));
+  if (aggregation.field.empty()) {
+    return argument_error("required one of fields [field], but none were specified");
+  }
+  if (is_histogram && aggregation.interval == 0) {
+    return argument_error("[interval] must be greater than 0");
+  }
+  // The default of the API: size * 1.5 + 10.
+  if (!has_shard_size) {
+    aggregation.shard_size = std::min(limits.max_buckets, aggregation.size + aggregation.size / 2 + 10);
+  }
+  aggregation.shard_size = std::max(aggregation.shard_size, aggregation.size);
+  search.aggregations.push_back(std::move(aggregation));
   return {};
 }
 
-Maybe member(const std::string& key, const json& v, const Limits& limits, Search& s) {
+// Parses one member of the body of a search.
+MaybeError parse_member(const std::string& key, const json& value, const Limits& limits, Search& search) {
   if (key == "query") {
-    if (auto f = check_query(v, limits)) return f;
-    s.query = v;
+    if (auto error = check_query(value, limits)) return error;
+    search.query = value;
   } else if (key == "size" || key == "from") {
-    if (!v.is_number_unsigned()) return illegal("[" + key + "] parameter must be a whole number from 0 up");
-    if (v.get<std::uint64_t>() > limits.max_window)
-      return illegal("[" + key + "] is past the window of " + std::to_string(limits.max_window));
-    (key == "size" ? s.size : s.from) = v.get<std::size_t>();
+    if (!value.is_number_unsigned()) {
+      return argument_error("[" + key + "] parameter must be a whole number from 0 up");
+    }
+    if (value.get<std::uint64_t>() > limits.max_window) {
+      return argument_error("[" + key + "] is past the window of " + std::to_string(limits.max_window));
+    }
+    (key == "size" ? search.size : search.from) = value.get<std::size_t>();
   } else if (key == "sort") {
-    return read_sort(v, s);
+    return parse_sort(value, search);
   } else if (key == "search_after") {
-    if (!v.is_array() || v.empty()) return parsing("[search_after] is a list of sort values");
-    for (const json& one : v)
-      if (!plain(one) && !one.is_null())
-        return parsing("[search_after] holds a value that can't be sorted by");
-    s.search_after = v;
+    if (!value.is_array() || value.empty()) return parsing_error("[search_after] is a list of sort values");
+    for (const json& sort_value : value) {
+      if (!is_scalar(sort_value) && !sort_value.is_null()) {
+        return parsing_error("[search_after] holds a value that can't be sorted by");
+      }
+    }
+    search.search_after = value;
   } else if (key == "_source") {
-    return read_source(v, s);
+    return parse_source(value, search);
   } else if (key == "timeout") {
-    if (!(s.timeout = time_value(v)))
-      return parsing("failed to parse [timeout]: a number with ms, s or m is needed");
+    if (!(search.timeout = parse_duration(value))) {
+      return parsing_error("failed to parse [timeout]: a number with ms, s or m is needed");
+    }
   } else if (key == "terminate_after") {
-    if (!whole(v, 1000000000000)) return illegal("terminateAfter must be a whole number from 0 up");
-    s.terminate_after = v.get<std::uint64_t>();
+    if (!is_integer_up_to(value, kMaxTerminateAfter)) {
+      return argument_error("terminateAfter must be a whole number from 0 up");
+    }
+    search.terminate_after = value.get<std::uint64_t>();
   } else if (key == "track_total_hits") {
-    if (v.is_boolean()) {
-      s.tracks_total = s.tracks_exact_total = v.get<bool>();
-    } else if (v.is_number_unsigned()) {
-      s.tracks_exact_total = false, s.tracks_total = true, s.max_tracked_total = v.get<std::uint64_t>();
+    if (value.is_boolean()) {
+      search.tracks_exact_total = value.get<bool>();
+      search.tracks_total = search.tracks_exact_total;
+    } else if (value.is_number_unsigned()) {
+      search.tracks_exact_total = false;
+      search.tracks_total = true;
+      search.max_tracked_total = value.get<std::uint64_t>();
     } else {
-      return illegal("[track_total_hits] is a truth value or a whole number");
+      return argument_error("[track_total_hits] is a truth value or a whole number");
     }
   } else if (key == "aggs" || key == "aggregations") {
-    if (!v.is_object()) return parsing("[aggs] is an object");
-    if (v.size() > 64) return illegal("more than 64 aggregations");
-    for (const auto& [name, a] : v.items())
-      if (auto f = read_aggregation(name, a, limits, s)) return f;
+    if (!value.is_object()) return parsing_error("[aggs] is an object");
+    if (value.size() > kMaxAggregations) return argument_error("more than 64 aggregations");
+    for (const auto& [name, aggregation] : value.items()) {
+      if (auto error = parse_aggregation(name, aggregation, limits, search)) return error;
+    }
   } else {
-    return parsing("unknown key for a search: " + bracketed(key));
+    return parsing_error("unknown key for a search: " + bracketed(key));
   }
   return {};
 }
 
-Maybe cross_check(const Search& s, const Limits& limits) {
-  if (s.window() > limits.max_window)
-    return illegal("result window is too large, from + size must be less than or equal to: [" +
-                   std::to_string(limits.max_window) + "] but was [" + std::to_string(s.window()) + "]");
-  if (s.search_after.is_null()) return {};
-  if (s.from > 0) return illegal("`from` parameter must be set to 0 when `search_after` is used");
-  if (s.sort.empty()) return illegal("sort must contain at least one field when using search_after");
-  if (s.search_after.size() != s.sort.size())
-    return illegal("search_after has " + std::to_string(s.search_after.size()) + " value(s) but sort has " +
-                   std::to_string(s.sort.size()));
+// Checks the members of a search against each other.
+MaybeError check_consistency(const Search& search, const Limits& limits) {
+  if (search.window() > limits.max_window) {
+    return argument_error("result window is too large, from + size must be less than or equal to: [" +
+                          std::to_string(limits.max_window) + "] but was [" +
+                          std::to_string(search.window()) + "]");
+  }
+  if (search.search_after.is_null()) return {};
+  if (search.from > 0) {
+    return argument_error("`from` parameter must be set to 0 when `search_after` is used");
+  }
+  if (search.sort.empty()) {
+    return argument_error("sort must contain at least one field when using search_after");
+  }
+  if (search.search_after.size() != search.sort.size()) {
+    return argument_error("search_after has " + std::to_string(search.search_after.size()) +
+                          " value(s) but sort has " + std::to_string(search.sort.size()));
+  }
   return {};
 }
 
-Parsed<Search> from_json(const json& body, const Limits& limits) {
-  if (!body.is_object()) return parsing("a search is an object");
-  Search s;
-  for (const auto& [key, v] : body.items())
-    if (auto f = member(key, v, limits, s)) return *f;
-  if (auto f = cross_check(s, limits)) return *f;
-  return s;
+Parsed<Search> search_from_json(const json& body, const Limits& limits) {
+  if (!body.is_object()) return parsing_error("a search is an object");
+  Search search;
+  for (const auto& [key, value] : body.items()) {
+    if (auto error = parse_member(key, value, limits, search)) return *error;
+  }
+  if (auto error = check_consistency(search, limits)) return *error;
+  return search;
 }
 
-bool blank(std::string_view text) { return text.find_first_not_of(" \t\r\n") == std::string_view::npos; }
+bool is_blank(std::string_view text) { return text.find_first_not_of(" \t\r\n") == std::string_view::npos; }
 
 }  // namespace
 
-std::string error_body(const ApiError& f) {
-  const json cause{{"type", f.type}, {"reason", f.reason}};
-  return json{{"error", {{"root_cause", json::array({cause})}, {"type", f.type}, {"reason", f.reason}}},
-              {"status", f.status}}
+std::string error_body(const ApiError& error) {
+  const json cause{{"type", error.type}, {"reason", error.reason}};
+  return json{
+      {"error", {{"root_cause", json::array({cause})}, {"type", error.type}, {"reason", error.reason}}},
+      {"status", error.status}}
       .dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
 std::optional<ApiError> check_query(const json& query, const Limits& limits) {
-  return Checker(limits).query(query, 0);
+  return QueryChecker(limits).check(query, 0);
 }
 
 Parsed<Search> parse_search(std::string_view body, const Limits& limits) {
-  if (blank(body)) return Search{};
-  json read;
-  if (const char* wrong = parse_json(body, read)) return parsing(wrong);
-  return from_json(read, limits);
+  if (is_blank(body)) return Search{};
+  json parsed;
+  if (const char* error = parse_json(body, parsed)) return parsing_error(error);
+  return search_from_json(parsed, limits);
 }
 
-std::optional<ApiError> parse_parameter(const std::string& name, const std::string& value, Search& s,
+std::optional<ApiError> parse_parameter(const std::string& name, const std::string& value, Search& search,
                                         const Limits& limits) {
   if (name == "allow_partial_search_results") {
-    if (value != "true" && value != "false" && !value.empty())
-      return illegal("[allow_partial_search_results] is true or false");
-    s.allows_partial = value != "false";
+    if (value != "true" && value != "false" && !value.empty()) {
+      return argument_error("[allow_partial_search_results] is true or false");
+    }
+    search.allows_partial = value != "false";
     return {};
   }
   if (name == "preference" || name == "routing") {
-    if (value.empty()) return illegal("[" + name + "] is empty");
-    return {};  // the broker's own pick and the whole index serve either
+    if (value.empty()) return argument_error("[" + name + "] is empty");
+    return {};  // ignored: the broker selects the replicas itself and searches the whole index
   }
   if (name == "size" || name == "from" || name == "terminate_after" || name == "track_total_hits" ||
       name == "timeout") {
-    json v;
-    if (name == "timeout" || parse_json(value, v)) v = value;
-    if (auto f = member(name, v, limits, s)) return f;
-    return cross_check(s, limits);
+    json parsed;
+    if (name == "timeout" || parse_json(value, parsed)) parsed = value;
+    if (auto error = parse_member(name, parsed, limits, search)) return error;
+    return check_consistency(search, limits);
   }
-  return illegal("request contains unrecognized parameter: " + bracketed(name));
+  return argument_error("request contains unrecognized parameter: " + bracketed(name));
 }
 
 Parsed<std::vector<MsearchItem>> parse_msearch(std::string_view body, const std::string& index,
                                                const Limits& limits) {
-  if (!body.empty() && body.back() != '\n')
-    return illegal("The msearch request must be terminated by a newline [\\n]");
+  if (!body.empty() && body.back() != '\n') {
+    return argument_error("The msearch request must be terminated by a newline [\\n]");
+  }
   std::vector<MsearchItem> items;
   while (!body.empty()) {
-    const auto line = [&] {
+    const auto take_line = [&] {
       const auto end = body.find('\n');
-      const std::string_view one = body.substr(0, end);
+      const std::string_view line = body.substr(0, end);
       body.remove_prefix(end == std::string_view::npos ? body.size() : end + 1);
-      return one;
+      return line;
     };
-    const std::string_view head = line();
-    if (blank(head) && blank(body)) break;
-    if (body.empty()) return illegal("a search's header stands without its body");
-    const std::string_view search = line();
-    if (items.size() >= limits.max_items)
-      return illegal("more than " + std::to_string(limits.max_items) + " searches in one request");
+    const std::string_view header_line = take_line();
+    if (is_blank(header_line) && is_blank(body)) break;
+    if (body.empty()) return argument_error("a search's header stands without its body");
+    const std::string_view search_line = take_line();
+    if (items.size() >= limits.max_items) {
+      return argument_error("more than " + std::to_string(limits.max_items) + " searches in one request");
+    }
     MsearchItem item{index, Search{}};
-    json h;
-    std::optional<ApiError> fault;
-    std::optional<bool> partial;
-    if (!blank(head)) {
-      if (const char* wrong = parse_json(head, h)) {
-        fault = parsing(wrong);
-      } else if (!h.is_object()) {
-        fault = parsing("a search's header is an object");
+    json header;
+    std::optional<ApiError> header_error;
+    std::optional<bool> allows_partial;
+    if (!is_blank(header_line)) {
+      if (const char* error = parse_json(header_line, header)) {
+        header_error = parsing_error(error);
+      } else if (!header.is_object()) {
+        header_error = parsing_error("a search's header is an object");
       } else {
-        for (const auto& [key, v] : h.items()) {
-          if (key == "index" && v.is_string())
-            item.index = v.get<std::string>();
-          else if (key == "allow_partial_search_results" && v.is_boolean())
-            partial = v.get<bool>();
-          else if ((key == "preference" || key == "routing") && v.is_string() && !v.empty())
+        for (const auto& [key, value] : header.items()) {
+          if (key == "index" && value.is_string()) {
+            item.index = value.get<std::string>();
+          } else if (key == "allow_partial_search_results" && value.is_boolean()) {
+            allows_partial = value.get<bool>();
+          } else if ((key == "preference" || key == "routing") && value.is_string() && !value.empty()) {
             continue;
-          else
-            fault = illegal("key " + bracketed(key) + " is not supported in the metadata section so");
+          } else {
+            header_error =
+                argument_error("key " + bracketed(key) + " is not supported in the metadata section so");
+          }
         }
       }
     }
-    if (fault)
-      item.search = *fault;
-    else
-      item.search = parse_search(search, limits);
-    if (auto* s = std::get_if<Search>(&item.search)) s->allows_partial = partial;
+    if (header_error) {
+      item.search = *header_error;
+    } else {
+      item.search = parse_search(search_line, limits);
+    }
+    if (auto* search = std::get_if<Search>(&item.search)) search->allows_partial = allows_partial;
     items.push_back(std::move(item));
   }
-  if (items.empty())
+  if (items.empty()) {
     return ApiError{400, "action_request_validation_exception", "Validation Failed: 1: no requests added;"};
+  }
   return items;
 }
 
 Parsed<std::vector<MgetItem>> parse_mget(std::string_view body, const std::string& index,
                                          const Limits& limits) {
-  json read;
-  if (const char* wrong = parse_json(body, read)) return parsing(wrong);
-  if (!read.is_object() || read.size() != 1) return parsing("an mget has either [docs] or [ids]");
-  const std::string key = read.begin().key();
-  const json& list = read.begin().value();
-  if ((key != "docs" && key != "ids") || !list.is_array())
-    return parsing("unexpected key for an mget: " + bracketed(key));
-  if (list.empty())
+  json parsed;
+  if (const char* error = parse_json(body, parsed)) return parsing_error(error);
+  if (!parsed.is_object() || parsed.size() != 1) {
+    return parsing_error("an mget has either [docs] or [ids]");
+  }
+  const std::string list_key = parsed.begin().key();
+  const json& list = parsed.begin().value();
+  if ((list_key != "docs" && list_key != "ids") || !list.is_array()) {
+    return parsing_error("unexpected key for an mget: " + bracketed(list_key));
+  }
+  if (list.empty()) {
     return ApiError{400, "action_request_validation_exception", "Validation Failed: 1: no documents to get;"};
-  if (list.size() > limits.max_items)
-    return illegal("more than " + std::to_string(limits.max_items) + " documents in one request");
-  std::vector<MgetItem> gets;
-  for (const json& d : list) {
-    MgetItem g{index, ""};
-    if (key == "ids") {
-      if (!d.is_string()) return parsing("an id is a text");
-      g.id = d.get<std::string>();
+  }
+  if (list.size() > limits.max_items) {
+    return argument_error("more than " + std::to_string(limits.max_items) + " documents in one request");
+  }
+  std::vector<MgetItem> items;
+  for (const json& element : list) {
+    MgetItem item{index, ""};
+    if (list_key == "ids") {
+      if (!element.is_string()) return parsing_error("an id is a text");
+      item.id = element.get<std::string>();
     } else {
-      if (!d.is_object()) return parsing("a document is an object");
-      for (const auto& [k, v] : d.items()) {
-        if ((k != "_index" && k != "_id") || !v.is_string())
-          return parsing("unknown key for a document: " + bracketed(k));
-        (k == "_index" ? g.index : g.id) = v.get<std::string>();
+      if (!element.is_object()) return parsing_error("a document is an object");
+      for (const auto& [key, value] : element.items()) {
+        if ((key != "_index" && key != "_id") || !value.is_string()) {
+          return parsing_error("unknown key for a document: " + bracketed(key));
+        }
+        (key == "_index" ? item.index : item.id) = value.get<std::string>();
       }
     }
-    if (g.id.empty() || g.id.size() > 512) return illegal("an id has 1 to 512 bytes");
-    if (g.index.empty())
+    if (item.id.empty() || item.id.size() > kMaxIdBytes) return argument_error("an id has 1 to 512 bytes");
+    if (item.index.empty()) {
       return ApiError{400, "action_request_validation_exception", "Validation Failed: 1: index is missing;"};
-    gets.push_back(std::move(g));
+    }
+    items.push_back(std::move(item));
   }
-  return gets;
+  return items;
 }
 
-std::string shard_search_body(const Search& s) {
-  json ask{
-      {"query", s.query}, {"size", s.window()}, {"_source", s.source}, {"track_total_hits", s.tracks_total}};
+std::string shard_search_body(const Search& search) {
+  json body{{"query", search.query},
+            {"size", search.window()},
+            {"_source", search.source},
+            {"track_total_hits", search.tracks_total}};
   json sort = json::array();
-  for (const SortKey& k : s.sort)
-    sort.push_back({{k.field,
-                     {{"order", k.descending ? "desc" : "asc"},
-                      {"missing", k.puts_missing_first ? "_first" : "_last"}}}});
-  if (!s.sort.empty()) ask["sort"] = std::move(sort);
-  if (!s.search_after.is_null()) ask["search_after"] = s.search_after;
-  if (s.terminate_after > 0) ask["terminate_after"] = s.terminate_after;
-  json aggs = json::object();
-  for (const Aggregation& a : s.aggregations) {
-    static const char* names[] = {"terms", "min",         "max",       "sum",
+  for (const SortKey& sort_key : search.sort) {
+    sort.push_back({{sort_key.field,
+                     {{"order", sort_key.is_descending ? "desc" : "asc"},
+                      {"missing", sort_key.puts_missing_first ? "_first" : "_last"}}}});
+  }
+  if (!search.sort.empty()) body["sort"] = std::move(sort);
+  if (!search.search_after.is_null()) body["search_after"] = search.search_after;
+  if (search.terminate_after > 0) body["terminate_after"] = search.terminate_after;
+  json aggregations = json::object();
+  for (const Aggregation& aggregation : search.aggregations) {
+    // By Aggregation::Kind. An average is requested as stats, whose sum and count can be merged.
+    static const char* kinds[] = {"terms", "min",         "max",       "sum",
                                   "stats", "value_count", "histogram", "cardinality"};
-    json one{{"field", a.field}};
-    if (a.kind == Aggregation::Kind::kTerms) one["size"] = a.shard_size;
-    if (a.kind == Aggregation::Kind::kHistogram) one["interval"] = a.interval;
-    aggs[a.name][names[static_cast<int>(a.kind)]] = std::move(one);
+    json parameters{{"field", aggregation.field}};
+    if (aggregation.kind == Aggregation::Kind::kTerms) parameters["size"] = aggregation.shard_size;
+    if (aggregation.kind == Aggregation::Kind::kHistogram) parameters["interval"] = aggregation.interval;
+    aggregations[aggregation.name][kinds[static_cast<int>(aggregation.kind)]] = std::move(parameters);
   }
-  if (!aggs.empty()) ask["aggs"] = std::move(aggs);
-  return ask.dump(-1, ' ', false, json::error_handler_t::replace);
+  if (!aggregations.empty()) body["aggs"] = std::move(aggregations);
+  return body.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
 std::string shard_get_body(const std::vector<std::string>& ids) {
--- a/src/opensearch/response.cpp
+++ b/src/opensearch/response.cpp
@@ -6,95 +6,110 @@
 
 namespace {
 
-std::string text(const json& v) { return v.dump(-1, ' ', false, json::error_handler_t::replace); }
+std::string json_text(const json& value) {
+  return value.dump(-1, ' ', false, json::error_handler_t::replace);
+}
 
-json reason(const ShardFailure& f) {
-  const auto why = [](const char* type, const std::string& reason) {
+json failure_reason(const ShardFailure& failure) {
+  const auto reason_object = [](const char* type, const std::string& reason) {
     return json{{"type", type}, {"reason", reason}};
   };
-  switch (f.kind) {
+  switch (failure.kind) {
     case ShardFailure::Kind::kNoReplica:
-      return why("no_shard_available_action_exception", "no copy of the block could be asked");
+      return reason_object("no_shard_available_action_exception", "no copy of the block could be asked");
     case ShardFailure::Kind::kNotConnected:
-      return why("connect_transport_exception", "the node could not be reached");
+      return reason_object("connect_transport_exception", "the node could not be reached");
     case ShardFailure::Kind::kRejected:
-      return why("rejected_execution_exception", "the node turned it away");
+      return reason_object("rejected_execution_exception", "the node turned it away");
     case ShardFailure::Kind::kDisconnected:
-      return why("node_disconnected_exception", "the connection broke while it was out");
+      return reason_object("node_disconnected_exception", "the connection broke while it was out");
     case ShardFailure::Kind::kTimedOut:
-      return why("timeout_exception", "no answer in time");
+      return reason_object("timeout_exception", "no answer in time");
     case ShardFailure::Kind::kError:
-      return why("remote_transport_exception", "the node answered with an error");
+      return reason_object("remote_transport_exception", "the node answered with an error");
     case ShardFailure::Kind::kInvalidAnswer:
-      return why("parsing_exception", "the node's answer can't be used: " + f.detail);
+      return reason_object("parsing_exception", "the node's answer can't be used: " + failure.detail);
   }
   return nullptr;
 }
 
-// What the API calls failures, alike ones not grouped.
-json failures_json(const ShardSummary& s) {
-  json all = json::array();
-  for (const ShardFailure& f : s.failures)
-    all.push_back({{"shard", f.shard},
-                   {"index", f.index},
-                   {"node", f.node.empty() ? json(nullptr) : json(f.node)},
-                   {"reason", reason(f)},
-                   {"may_have_run", !is_known_not_run(f.kind)}});
-  return all;
+// Returns the `failures` array of the API, one entry per shard. Equal failures are not grouped.
+json failures_json(const ShardSummary& shards) {
+  json failures = json::array();
+  for (const ShardFailure& failure : shards.failures) {
+    failures.push_back({{"shard", failure.shard},
+                        {"index", failure.index},
+                        {"node", failure.node.empty() ? json(nullptr) : json(failure.node)},
+                        {"reason", failure_reason(failure)},
+                        {"may_have_run", !is_known_not_run(failure.kind)}});
+  }
+  return failures;
 }
 
-ApiResponse phase_failed(const ShardSummary& s, const char* what) {
-  json cause = s.failures.empty() ? json{{"type", "search_phase_execution_exception"}, {"reason", what}}
-                                  : reason(s.failures.front());
-  return {503, text({{"error",
-                      {{"root_cause", json::array({cause})},
-                       {"type", "search_phase_execution_exception"},
-                       {"reason", what},
-                       {"phase", "query"},
-                       {"grouped", false},
-                       {"failed_shards", failures_json(s)}}},
-                     {"status", 503}})};
+ApiResponse phase_failed_response(const ShardSummary& shards, const char* reason) {
+  json cause = shards.failures.empty()
+                   ? json{{"type", "search_phase_execution_exception"}, {"reason", reason}}
+                   : failure_reason(shards.failures.front());
+  return {503, json_text({{"error",
+                           {{"root_cause", json::array({cause})},
+                            {"type", "search_phase_execution_exception"},
+                            {"reason", reason},
+                            {"phase", "query"},
+                            {"grouped", false},
+                            {"failed_shards", failures_json(shards)}}},
+                          {"status", 503}})};
 }
 
 }  // namespace
 
-bool is_known_not_run(ShardFailure::Kind how) {
-  return how == ShardFailure::Kind::kNoReplica || how == ShardFailure::Kind::kNotConnected ||
-         how == ShardFailure::Kind::kRejected;
+bool is_known_not_run(ShardFailure::Kind kind) {
+  return kind == ShardFailure::Kind::kNoReplica || kind == ShardFailure::Kind::kNotConnected ||
+         kind == ShardFailure::Kind::kRejected;
 }
 
-json shards_json(const ShardSummary& s) {
-  const int failed = static_cast<int>(s.failures.size());
-  json out{{"total", s.total}, {"successful", s.total - failed}, {"skipped", s.skipped}, {"failed", failed}};
-  if (failed) out["failures"] = failures_json(s);
+json shards_json(const ShardSummary& shards) {
+  const int failed = static_cast<int>(shards.failures.size());
+  json out{{"total", shards.total},
+           {"successful", shards.total - failed},
+           {"skipped", shards.skipped},
+           {"failed", failed}};
+  if (failed) out["failures"] = failures_json(shards);
   return out;
 }
 
-ApiResponse search_response(const Search& s, const MergedResult& m, const ShardSummary& shards, bool whole,
-                            std::int64_t took_ms) {
-  if (!whole && s.allows_partial == false) return phase_failed(shards, "Partial shards failure");
-  const bool late = std::any_of(shards.failures.begin(), shards.failures.end(), [](const ShardFailure& f) {
-    return f.kind == ShardFailure::Kind::kTimedOut;
-  });
-  json head{{"took", took_ms}, {"timed_out", late}, {"_shards", shards_json(shards)}};
+ApiResponse search_response(const Search& search, const MergedResult& merged, const ShardSummary& shards,
+                            bool is_complete, std::int64_t took_ms) {
+  if (!is_complete && search.allows_partial == false) {
+    return phase_failed_response(shards, "Partial shards failure");
+  }
+  const bool has_timed_out =
+      std::any_of(shards.failures.begin(), shards.failures.end(),
+                  [](const ShardFailure& failure) { return failure.kind == ShardFailure::Kind::kTimedOut; });
+  json head{{"took", took_ms}, {"timed_out", has_timed_out}, {"_shards", shards_json(shards)}};
   json hits = json::object();
-  if (s.tracks_total) hits["total"] = {{"value", m.total}, {"relation", m.total_exact ? "eq" : "gte"}};
-  hits["max_score"] = m.max_score ? json(*m.max_score) : json(nullptr);
-  std::string body = text(head);
+  if (search.tracks_total) {
+    hits["total"] = {{"value", merged.total}, {"relation", merged.is_total_exact ? "eq" : "gte"}};
+  }
+  hits["max_score"] = merged.max_score ? json(*merged.max_score) : json(nullptr);
+  // The hits are inserted as received, without parsing them again.
+  std::string body = json_text(head);
   body.pop_back();
-  std::string inner = text(hits);
-  inner.pop_back();
-  body += ",\"hits\":" + inner + ",\"hits\":[";
-  for (std::size_t i = 0; i < m.page.size(); ++i) (body += i ? "," : "").append(m.page[i].hit->raw);
+  std::string hits_text = json_text(hits);
+  hits_text.pop_back();
+  body += ",\"hits\":" + hits_text + ",\"hits\":[";
+  for (std::size_t i = 0; i < merged.page.size(); ++i) {
+    body += i ? "," : "";
+    body += merged.page[i].hit->raw;
+  }
   body += "]}";
-  if (!s.aggregations.empty()) body += ",\"aggregations\":" + text(m.aggregations);
+  if (!search.aggregations.empty()) body += ",\"aggregations\":" + json_text(merged.aggregations);
   return {200, body + "}"};
 }
 
-ApiResponse count_response(const MergedResult& m, const ShardSummary& shards, bool whole) {
-  json out{{"count", m.total}, {"_shards", shards_json(shards)}};
-  if (!whole) out["terminated_early"] = true;  // the count holds only what is in
-  return {200, text(out)};
+ApiResponse count_response(const MergedResult& merged, const ShardSummary& shards, bool is_complete) {
+  json out{{"count", merged.total}, {"_shards", shards_json(shards)}};
+  if (!is_complete) out["terminated_early"] = true;  // shards without an answer are not counted
+  return {200, json_text(out)};
 }
 
 ApiResponse too_many_requests_response() {
@@ -103,9 +118,9 @@
 }
 
 ApiResponse all_shards_failed_response(const ShardSummary& shards) {
-  return phase_failed(shards, "all shards failed");
+  return phase_failed_response(shards, "all shards failed");
 }
 
-ApiResponse error_response(const ApiError& f) { return {f.status, error_body(f)}; }
+ApiResponse error_response(const ApiError& error) { return {error.status, error_body(error)}; }
 
 }  // namespace cairnhub::opensearch
