--- a/src/cluster/admin_api.cpp
+++ b/src/cluster/admin_api.cpp
@@ -111,10 +111,10 @@
                   {"refuted", counters.refutations},
                   {"conflicts", counters.address_conflicts},
                   {"lists",
-                   {{"own", gossip.own()},
-                    {"newest", gossip.newest()},
-                    {"behind", gossip.behind()},
-                    {"withholding", gossip.withholding()}}},
+                   {{"own", gossip.own_revision()},
+                    {"newest", gossip.newest_revision()},
+                    {"behind", gossip.is_behind()},
+                    {"withholding", gossip.withheld_count()}}},
                   {"talk",
                    {{"bytes_out", transport_counters.bytes_sent},
                     {"bytes_in", transport_counters.bytes_received},
@@ -128,44 +128,48 @@
   for (const auto& voter : status.voters) voters.push_back({{"name", voter.name}, {"votes", voter.votes}});
   return to_text(
       {{"name", node_.options().name},
-       {"acts_on",
-        status.acting.low ? json{{"low", status.acting.low}, {"high", status.acting.high}} : json("ground")},
-       {"ground", status.ground},
-       {"ground_next", status.ground_next},
-       {"lease_left_ms", milliseconds(status.lease_left)},
-       {"rules", shared_config::text_of(*status.acting.rules)},
-       {"hash", shared_config::hash_of(shared_config::text_of(*status.acting.rules))},
+       {"acts_on", status.active_config.low
+                       ? json{{"low", status.active_config.low}, {"high", status.active_config.high}}
+                       : json("ground")},
+       {"ground", status.baseline},
+       {"ground_next", status.next_baseline},
+       {"lease_left_ms", milliseconds(status.lease_remaining)},
+       {"rules", shared_config::canonical_text(*status.active_config.rules)},
+       {"hash", shared_config::content_hash(shared_config::canonical_text(*status.active_config.rules))},
        {"leader", status.leader},
-       {"leads", status.leads},
+       {"leads", status.is_leader},
        {"term", status.term},
-       {"votes", status.votes},
-       {"store_failed", status.store_failed},
-       {"have", status.have},
+       {"votes", status.is_voter},
+       {"store_failed", status.has_store_failed},
+       {"have", status.newest_held},
        {"newest", status.newest},
        {"in_force", status.in_force},
        {"voters", voters},
-       {"force_waits_for", status.force_waits_for},
-       {"ground_waits_for", status.ground_waits_for}});
+       {"force_waits_for", status.brokers_delaying_version},
+       {"ground_waits_for", status.brokers_delaying_baseline}});
 }
 
 std::string AdminApi::history_json() const {
   json versions = json::array();
   for (const auto& version : node_.shared_config_node()->history()) versions.push_back(version_json(version));
-  const auto& holder = node_.shared_config_node()->holder();
-  json history{{"versions", versions}, {"ground", version_json(holder.ground())}};
-  if (holder.ground_next()) history["ground_next"] = version_json(*holder.ground_next());
+  const auto& holder = node_.shared_config_node()->lease_client();
+  json history{{"versions", versions}, {"ground", version_json(holder.baseline())}};
+  if (holder.next_baseline()) history["ground_next"] = version_json(*holder.next_baseline());
   return to_text(history);
 }
 
 // Every broker reports the limits that it acts on; the leader adds the evidence for its decisions.
 std::string AdminApi::zones_json() const {
   const auto& zone_failover = *node_.zone_failover();
-  // Without a shared configuration the broker decides by itself and keeps versions of its own.
-  const shared_config::Versions* standalone = node_.standalone_zone_versions();
-  const auto status = standalone ? shared_config::Status{} : node_.shared_config_node()->status(now());
-  const auto& versions = standalone ? standalone->all() : node_.shared_config_node()->holder().versions();
-  const auto at = versions.find(standalone ? standalone->newest() : status.acting.high);
-  const shared_config::Rules& rules = standalone ? *at->second.rules : *status.acting.rules;
+  // Without a shared configuration the broker decides by
+  // itself and keeps versions of its own.
+  const shared_config::VersionHistory* standalone = node_.standalone_zone_versions();
+  const auto status =
+      standalone ? shared_config::SharedConfigStatus{} : node_.shared_config_node()->status(now());
+  const auto& versions =
+      standalone ? standalone->versions() : node_.shared_config_node()->lease_client().versions();
+  const auto at = versions.find(standalone ? standalone->newest() : status.active_config.high);
+  const shared_config::RuleSet& rules = standalone ? *at->second.rules : *status.active_config.rules;
   json acts = json::object();
   json states = json::object();
   json shares = json::array();
@@ -181,19 +185,19 @@
         states[all == &note.zones ? name : zone_failover::region_key(name)] = {
             {"state", zone_failover::name_of(zone_state.state)},
             {"share", zone_state.local_share_thousandths}};
-  for (const auto& [pair, max_share] : rules.zones.most)
+  for (const auto& [pair, max_share] : rules.zone_shares.thousandths_by_pair)
     shares.push_back({{"from", pair.first}, {"to", pair.second}, {"most", max_share}});
   json out{{"name", node_.options().name},
            {"home", zone_failover.options().home_zone},
            {"leader", status.leader},
-           {"leads", status.leads || standalone},
-           {"version", standalone ? standalone->newest() : status.acting.high},
+           {"leads", status.is_leader || standalone},
+           {"version", standalone ? standalone->newest() : status.active_config.high},
            {"why", at == versions.end() ? "" : at->second.why},
            {"acts_on", acts},
            {"states", states},
-           {"otherwise", rules.zones.otherwise},
+           {"otherwise", rules.zone_shares.default_thousandths},
            {"shares", shares}};
-  if (!status.leads && !standalone) return to_text(out);
+  if (!status.is_leader && !standalone) return to_text(out);
   for (const auto& explanation : zone_failover.explain())
     seen.push_back({{"zone", explanation.zone},
                     {"state", zone_failover::name_of(explanation.state)},
@@ -210,8 +214,8 @@
   for (const auto& [from, to] : zone_failover.health_view().broken_links)
     cut.push_back({{"from", from}, {"to", to}});
   for (const auto& [zone, order] :
-       (standalone ? *standalone : node_.shared_config_node()->engine()->versions()).orders())
-    orders[zone] = {{"what", order.what}, {"who", order.who}, {"why", order.why}};
+       (standalone ? *standalone : node_.shared_config_node()->raft_node()->versions()).zone_orders())
+    orders[zone] = {{"what", order.action}, {"who", order.who}, {"why", order.why}};
   out["seen"] = seen;
   out["cut"] = cut;
   out["outvoted"] = zone_failover.health_view().outvoted_brokers;
@@ -257,8 +261,8 @@
 std::string AdminApi::maintenance_json() const {
   const auto status = node_.shared_config_node()->status(now());
   const auto* queue = node_.maintenance_agent()->job_queue();
-  json out{{"name", node_.options().name}, {"leader", status.leader}, {"leads", status.leads && queue}};
-  if (!status.leads || !queue) return to_text(out);
+  json out{{"name", node_.options().name}, {"leader", status.leader}, {"leads", status.is_leader && queue}};
+  if (!status.is_leader || !queue) return to_text(out);
   const auto& waits = node_.maintenance_agent()->controller().waiting_reasons();
   json jobs = json::array();
   json plan = json::array();
@@ -388,23 +392,23 @@
   };
   if (!json_body.is_object())
     return send_reply(request, 400, to_text({{"error", "the body is not a JSON object"}}));
-  shared_config::Entry entry;
+  shared_config::ConfigEntry entry;
   const std::string kind = field("kind");
   if (kind == "version")
-    entry.kind = shared_config::Entry::Kind::propose;
+    entry.kind = shared_config::ConfigEntry::Kind::kProposeVersion;
   else if (kind == "ground")
-    entry.kind = shared_config::Entry::Kind::propose_ground;
+    entry.kind = shared_config::ConfigEntry::Kind::kProposeBaseline;
   else if (kind == "strike")
-    entry.kind = shared_config::Entry::Kind::strike;
+    entry.kind = shared_config::ConfigEntry::Kind::kRemoveBroker;
   else if (kind == "order")
-    entry.kind = shared_config::Entry::Kind::order;
+    entry.kind = shared_config::ConfigEntry::Kind::kSetZoneOrder;
   else if (kind == "work")
-    entry.kind = shared_config::Entry::Kind::board;
+    entry.kind = shared_config::ConfigEntry::Kind::kStateMachine;
   else
     return send_reply(request, 400,
                       to_text({{"error", "kind is neither version, ground, strike, order nor work"}}));
   entry.text = field("rules");
-  if (entry.kind == shared_config::Entry::Kind::board) {
+  if (entry.kind == shared_config::ConfigEntry::Kind::kStateMachine) {
     const auto operation = parse_job_operation(json_body);
     if (!operation)
       return send_reply(
@@ -428,11 +432,12 @@
                       to_text({{"error", std::to_string(kMaxPendingProposals) +
                                              " proposals are pending already, try again later"}}));
   ++pending_proposals_;
-  // libevent frees the request once it is answered. If the connection closes before, this code has to
+  // libevent frees the request once it is answered. If the connection closes before,
+  // this code has to
   // free it.
   evhttp_request_own(request);
   auto pending = std::make_shared<PendingProposal>(PendingProposal{request, is_alive_, this});
-  node_.propose(std::move(entry), [pending](const std::optional<shared_config::Verdict>& verdict) {
+  node_.propose(std::move(entry), [pending](const std::optional<shared_config::ApplyResult>& verdict) {
     if (!*pending->api_is_alive) return evhttp_request_free(pending->request);
     --pending->api->pending_proposals_;
     evhttp_request* client_request = pending->request;
@@ -445,7 +450,7 @@
     else if (verdict->number)
       send_reply(client_request, 200, to_text({{"number", verdict->number}}));
     else
-      send_reply(client_request, 409, to_text({{"refused", verdict->refused}}));
+      send_reply(client_request, 409, to_text({{"refused", verdict->rejection}}));
   });
 }
 
--- a/src/maintenance/maintenance_controller.h
+++ b/src/maintenance/maintenance_controller.h
@@ -53,7 +53,7 @@
 // What the leader knows beside the log.
 struct LeaderView {
   FleetStatus fleet_status;
-  std::map<std::string, shared_config::Leases::Held> leases;  // by broker
+  std::map<std::string, shared_config::LeaseManager::BrokerState> leases;  // by broker
   std::set<std::string> live_brokers;
   std::set<std::string> voters;  // as the log has them now
 };
@@ -73,9 +73,9 @@
   // At the leader, at each check: the entry to propose, if any. The caller reports the result below; until
   // then no other entry is returned.
   // @param wall_time  nanoseconds since 1970
-  std::optional<shared_config::Entry> next_entry(Time now, Time wall_time,
-                                                 const shared_config::Versions& versions,
-                                                 const LeaderView& view);
+  std::optional<shared_config::ConfigEntry> next_entry(Time now, Time wall_time,
+                                                       const shared_config::VersionHistory& versions,
+                                                       const LeaderView& view);
   // An accepted entry may make the next one due at once; after a refused one the next check decides.
   void record_proposal_result(bool is_accepted) {
     has_pending_proposal_ = false;
@@ -93,19 +93,21 @@
   const std::map<std::uint64_t, std::string>& waiting_reasons() const { return waiting_reasons_; }
 
  private:
-  shared_config::Entry make_entry(shared_config::Entry::Kind kind, Time now, const std::string& reason);
-  shared_config::Entry make_transition(Time now, Time wall_time, const Job& job, JobState to,
-                                       const std::string& reason);
-  std::optional<shared_config::Entry> exclude_endpoints(Time now, const shared_config::Versions& versions,
-                                                        const JobQueue& queue);
-  std::optional<shared_config::Entry> advance_jobs(Time now, Time wall_time,
-                                                   const shared_config::Versions& versions,
-                                                   const JobQueue& queue, const LeaderView& view);
-  std::optional<shared_config::Entry> start_next_job(Time now, Time wall_time,
-                                                     const std::shared_ptr<const shared_config::Board>& board,
-                                                     const JobQueue& queue);
+  shared_config::ConfigEntry make_entry(shared_config::ConfigEntry::Kind kind, Time now,
+                                        const std::string& reason);
+  shared_config::ConfigEntry make_transition(Time now, Time wall_time, const Job& job, JobState to,
+                                             const std::string& reason);
+  std::optional<shared_config::ConfigEntry> exclude_endpoints(Time now,
+                                                              const shared_config::VersionHistory& versions,
+                                                              const JobQueue& queue);
+  std::optional<shared_config::ConfigEntry> advance_jobs(Time now, Time wall_time,
+                                                         const shared_config::VersionHistory& versions,
+                                                         const JobQueue& queue, const LeaderView& view);
+  std::optional<shared_config::ConfigEntry> start_next_job(
+      Time now, Time wall_time, const std::shared_ptr<const shared_config::ReplicatedStateMachine>& board,
+      const JobQueue& queue);
   bool is_overdue(Time now, Time wall_time, const Job& job, Time duration, const FleetStatus& status) const;
-  std::string draining_reason(Time now, const Job& job, const shared_config::Versions& versions,
+  std::string draining_reason(Time now, const Job& job, const shared_config::VersionHistory& versions,
                               const LeaderView& view);
   bool is_worth_sending(const FleetStatus& sent, const FleetStatus& current) const;
 
@@ -128,7 +130,7 @@
   std::map<std::uint64_t, std::string> waiting_reasons_;
   std::set<std::string> brokers_to_stop_;
   // The plan is made anew when the queue has changed, and each second for the time that has passed.
-  std::shared_ptr<const shared_config::Board> planned_board_;
+  std::shared_ptr<const shared_config::ReplicatedStateMachine> planned_board_;
   Time planned_at_ = 0;
   std::map<std::uint64_t, Time> blocked_since_;  // jobs that are due and may not start
   std::set<std::uint64_t> skipped_;              // those of them that the plan leaves out
--- a/src/shared_config/leases.h
+++ b/src/shared_config/leases.h
@@ -1,12 +1,14 @@
-// Leases: who may act on which versions until when. No I/O and no clock.
+// Leases: which versions of the rules a broker may act on, and until when. No I/O and no clock.
 //
-// The holder's side counts from the moment it asked, the leader's from the moment it granted, each on its own
-// monotonic clock, whose rate is within `drift` of true. A holder with a lease (low, high) acts on the meet
-// of the versions low to high; one without acts on the common ground. The leader grants only what a majority
-// of voters has confirmed it may since the asking came, grants nothing that ends below the newest version,
-// and lets a version take force only once every lease that ends below it has been handed over or has lapsed.
-// So at any moment the intervals of any two holders meet, and no one acts on what another's version forbids
-// (docs/accord.md has the proof; tests/leases.cpp checks it over every order of a small model).
+// The client counts a lease from the moment of its request and the leader from the moment of its grant, each
+// on its own monotonic clock, whose rate is within `max_clock_drift` of true time. A client with a lease
+// (low, high) acts on the meet of the versions from low to high; a client without one acts on the baseline.
+//
+// The leader issues a grant only after a majority of voters has confirmed its leadership since the request
+// arrived. No grant ends below the newest version. A version takes effect only after every lease that ends
+// below that version was replaced or has expired. So the intervals of any two clients overlap at any moment,
+// and no broker does what the version of another one forbids (docs/accord.md has the proof; tests/leases.cpp
+// checks all event orders of a small model).
 #pragma once
 #include <cstdint>
 #include <map>
@@ -22,150 +24,181 @@
 
 namespace cairnhub::shared_config {
 
-struct LeaseTerms {
-  Time stated = 2 * kSecond;  // no two act on contradicting versions for longer
-  double drift = 0.01;        // of a clock's rate, at most
-  // A lease's span in true time: what is left of the stated time covers the commits before and after.
-  Time span() const { return stated * 6 / 10; }
-  Time for_holder() const { return static_cast<Time>(static_cast<double>(span()) * (1 - drift)); }
-  Time for_leader() const { return static_cast<Time>(static_cast<double>(span()) * (1 + drift)); }
-  Time renew_after() const { return span() / 3; }
-  Time ask_again() const { return span() / 8; }
+struct LeaseSettings {
+  Time max_divergence = 2 * kSecond;  // the longest time that two brokers may act on contradicting versions
+  double max_clock_drift = 0.01;      // the largest error of a clock's rate, as a share
+  // The duration of a lease in true time. The rest of `max_divergence` covers the commits around it.
+  Time lease_duration() const { return max_divergence * 6 / 10; }
+  Time client_duration() const {
+    return static_cast<Time>(static_cast<double>(lease_duration()) * (1 - max_clock_drift));
+  }
+  Time leader_duration() const {
+    return static_cast<Time>(static_cast<double>(lease_duration()) * (1 + max_clock_drift));
+  }
+  Time renew_interval() const { return lease_duration() / 3; }
+  Time retry_interval() const { return lease_duration() / 8; }
 };
 
-// Of a sequence the upper half is the life of the process that asks, the lower one counts.
-struct Ask {
-  std::uint64_t sequence = 0, taken = 0;  // taken: the grant it acts under, and no earlier one ever again
-  std::uint64_t have = 0, ground = 0, settled = 0;  // grounds: kept to, known to be the only one
-  bool may_vote = false, bye = false;
-  std::uint64_t voter_id = 0;
+// A broker's request for a lease.
+struct LeaseRequest {
+  std::uint64_t sequence = 0;  // upper half: incarnation of the process; lower half: a counter
+  // Sequence of the grant that the broker acts under; it never returns to an earlier one.
+  std::uint64_t current_grant = 0;
+  std::uint64_t newest_version = 0;    // the newest version whose content it holds
+  std::uint64_t baseline = 0;          // the newest baseline that it keeps to, settled or next
+  std::uint64_t settled_baseline = 0;  // the newest baseline that it knows to be settled
+  bool may_vote = false;
+  bool releases_lease = false;  // hands the lease back
+  std::uint64_t voter_id = 0;   // identity of its store; 0 if it can't vote
 };
 
-struct Grant {
-  std::uint64_t sequence = 0;
-  std::uint64_t low = 0, high = 0;  // 0: none
+// The leader's answer to a request.
+struct LeaseGrant {
+  std::uint64_t sequence = 0;  // of the request
+  std::uint64_t low = 0;       // the first version of the lease; 0: no lease
+  std::uint64_t high = 0;      // the last version of the lease
   std::uint64_t term = 0;
-  std::vector<Version> versions;
-  std::optional<Version> ground, ground_next;
+  std::vector<Version> versions;    // those that the receiver lacks
+  std::optional<Version> baseline;  // the baselines, if the receiver's are out of date
+  std::optional<Version> next_baseline;
 };
 
-// What a broker acts on; never changed once made.
-struct Acting {
-  std::uint64_t low = 0, high = 0;  // 0: without a lease, on the common ground
-  std::uint64_t ground = 0;
-  std::shared_ptr<const Rules> rules;
+// The configuration that a broker acts on; immutable.
+struct ActiveConfig {
+  std::uint64_t low = 0;   // the first version of the lease; 0: no lease, the baseline applies
+  std::uint64_t high = 0;  // the last version of the lease
+  std::uint64_t baseline = 0;
+  std::shared_ptr<const RuleSet> rules;
 };
 
-// A broker's own side.
-class Holder {
+// The lease client of each broker.
+class LeaseClient {
  public:
-  // `life` differs in each life of a broker. Danger: an answer to an asking of its earlier life, were it
-  // taken for one to its own, would make a lease that nobody counts, and leave out the ground that the
-  // earlier life had.
-  Holder(const LeaseTerms& terms, Rules ground, std::uint32_t life = 0);
-
-  // What may be acted on at `now`. A look at the clock and a pointer: asked before each thing done.
-  const std::shared_ptr<const Acting>& acting(Time now) const { return now < until_ ? leased_ : grounded_; }
-  Time until() const { return until_; }
-
-  Time wake() const { return next_ask_; }
-  Ask ask(Time now);                            // a new asking; earlier ones may still be answered
-  bool answered(Time now, const Grant& grant);  // false: to nothing that this life has asked
-  void not_there(Time now);                     // asked one that does not lead: ask the next one soon
-  void ask_soon(Time now) { next_ask_ = std::min(next_ask_, now); }
-  void handed_back() { until_ = 0; }
-  // The ground kept from an earlier life, where a store holds one.
-  void keep(const Version& ground);
-  const Version& ground() const { return ground_; }
-  const std::optional<Version>& ground_next() const { return ground_next_; }
-  const Rules& grounded() const { return *grounded_->rules; }  // acted on without a lease
-  std::uint64_t have() const { return have_; }
+  // `incarnation` is the incarnation of the process; it grows with each restart. Without it, a grant to a
+  // request of an earlier process could be accepted: that lease would be unknown to the leader, and the grant
+  // would omit a baseline that only the earlier process had received.
+  LeaseClient(const LeaseSettings& settings, RuleSet baseline, std::uint32_t incarnation = 0);
+
+  // Returns the configuration in effect at `now`. Cheap, as it is called before each operation.
+  const std::shared_ptr<const ActiveConfig>& active_config(Time now) const {
+    return now < lease_expires_at_ ? leased_config_ : baseline_config_;
+  }
+  Time lease_expires_at() const { return lease_expires_at_; }
+
+  Time next_wake() const { return next_request_; }
+  // Makes a new request; earlier ones may still be answered.
+  LeaseRequest make_request(Time now);
+  // Takes up a grant; returns false if it answers no request of this process.
+  bool handle_grant(Time now, const LeaseGrant& grant);
+  // The broker that was asked isn't the leader: the next request follows soon.
+  void handle_not_leader(Time now);
+  void request_soon(Time now) { next_request_ = std::min(next_request_, now); }
+  void release() { lease_expires_at_ = 0; }
+  // Restores the baseline that an earlier process stored. To be called before the first request.
+  void restore_baseline(const Version& baseline);
+  const Version& baseline() const { return baseline_; }
+  const std::optional<Version>& next_baseline() const { return next_baseline_; }
+  // The rules in effect without a lease.
+  const RuleSet& baseline_rules() const { return *baseline_config_->rules; }
+  // The newest version that is held, with all from the lease's first version on; 0: none.
+  std::uint64_t newest_version() const { return newest_version_; }
   const std::map<std::uint64_t, Version>& versions() const { return versions_; }
-  // All that its further ways depend on, spans counted from `now`: two alike go on alike. For the exhaustive
-  // check.
-  void describe(Time now, std::string& into) const;
+  // Appends the whole state, with times relative to `now`: equal output means equal future behaviour. For
+  // model checking.
+  void append_state(Time now, std::string& into) const;
 
  private:
-  void make_ground();
-  LeaseTerms terms_;
+  void rebuild_baseline();
+  LeaseSettings settings_;
   std::map<std::uint64_t, Version> versions_;
-  std::uint64_t have_ = 0;
-  Version ground_;
-  std::optional<Version> ground_next_;
-  std::uint64_t ground_term_ = 0;  // of the leader who told them
-  std::shared_ptr<const Acting> leased_, grounded_;
-  Time until_ = 0, next_ask_ = 0;
-  std::uint64_t sequence_ = 0, taken_ = 0;
-  std::map<std::uint64_t, Time> asked_;  // the last few
+  std::uint64_t newest_version_ = 0;
+  Version baseline_;
+  std::optional<Version> next_baseline_;
+  std::uint64_t baseline_term_ = 0;  // term of the leader that sent the baselines
+  std::shared_ptr<const ActiveConfig> leased_config_;
+  std::shared_ptr<const ActiveConfig> baseline_config_;
+  Time lease_expires_at_ = 0;
+  Time next_request_ = 0;
+  std::uint64_t sequence_ = 0;
+  std::uint64_t current_grant_ = 0;
+  std::map<std::uint64_t, Time> request_times_;  // of the latest requests, by sequence
 };
 
-// The leader's side.
-class Leases {
+// The lease manager at the leader.
+class LeaseManager {
  public:
-  explicit Leases(const LeaseTerms& terms) : terms_(terms) {}
-
-  // It has become the leader: leases of earlier ones may run until one span from now.
-  void leads(Time now, std::uint64_t term, std::set<std::string> voters, const std::string& self);
-  void leads_no_more() { leading_ = false; }
-  void voters(std::set<std::string> voters) { voters_ = std::move(voters); }
-
-  // Asked by a broker, itself among them. Answered in `granted`, once a majority has confirmed.
-  void asked(Time now, const std::string& by, const Ask& ask);
-  void gone(const std::string& name);  // handed back
-  // A round to be confirmed by the voters, where something waits for it.
-  std::optional<std::uint64_t> round(Time now);
-  void confirmed(Time now, const std::string& by, std::uint64_t term, std::uint64_t round,
-                 const Versions& versions);
-  struct Granted {
-    std::string to;
-    Grant grant;
+  explicit LeaseManager(const LeaseSettings& settings) : settings_(settings) {}
+
+  // Starts a term as leader. Leases of earlier leaders may last for one lease duration from now.
+  void start_term(Time now, std::uint64_t term, std::set<std::string> voters, const std::string& self);
+  void stop_leading() { is_leading_ = false; }
+  void set_voters(std::set<std::string> voters) { voters_ = std::move(voters); }
+
+  // Handles the request of any broker, this one included. `take_grants` returns the answer once a majority
+  // has confirmed this leader.
+  void handle_request(Time now, const std::string& by, const LeaseRequest& request);
+  // Drops the lease that a broker handed back.
+  void release(const std::string& name);
+  // Starts a round of confirmation by the voters if requests wait for one; returns its number.
+  std::optional<std::uint64_t> start_round(Time now);
+  void handle_confirmation(Time now, const std::string& by, std::uint64_t term, std::uint64_t round,
+                           const VersionHistory& versions);
+  struct AddressedGrant {
+    std::string to;  // name of a broker
+    LeaseGrant grant;
   };
-  std::vector<Granted> granted() { return std::exchange(granted_, {}); }
-
-  // The newest version that may take force now; 0: none.
-  std::uint64_t may_force(Time now, const Versions& versions) const;
-  // The next ground may take force: all that are enlisted keep to it.
-  bool may_force_ground(const Versions& versions) const;
-  // Who stands in the way of that, for the operators.
-  std::vector<std::string> waits_for(Time now, const Versions& versions) const;
-  std::vector<std::string> ground_waits_for(const Versions& versions) const;
-  // When to look again though nothing comes; kNever where nothing waits.
-  Time wake(Time now, const Versions& versions) const;
-
-  // A grant may be lost on its way, and its receiver then goes on under an earlier one: each counts until it
-  // has lapsed, or until its receiver says that it acts under a later one.
-  struct Out {
+  // Returns the grants since the last call.
+  std::vector<AddressedGrant> take_grants() { return std::exchange(grants_, {}); }
+
+  // Returns the newest version that may take effect now; 0: none.
+  std::uint64_t activatable_version(Time now, const VersionHistory& versions) const;
+  // True if there is a next baseline and every enrolled broker keeps to it.
+  bool may_activate_baseline(const VersionHistory& versions) const;
+  // The brokers that the newest version, or the next baseline, still waits for. For operators.
+  std::vector<std::string> brokers_delaying_version(Time now, const VersionHistory& versions) const;
+  std::vector<std::string> brokers_delaying_baseline(const VersionHistory& versions) const;
+  // Returns when `activatable_version` may change without a message; kNever if no version waits.
+  Time next_wake(Time now, const VersionHistory& versions) const;
+
+  // An issued grant. A grant may get lost, and its receiver then continues under an earlier one: each counts
+  // until it expires or until its receiver reports that it acts under a later one.
+  struct OutstandingGrant {
     std::uint64_t sequence;
     std::uint64_t high;
-    Time until;
+    Time expires_at;
   };
-  struct Held {
-    std::vector<Out> out;  // oldest first
-    std::uint64_t ground = 0;
-    std::uint64_t life = 0, life_before = 0;  // what comes late of an earlier one is passed over
-    bool live(Time now) const { return !out.empty() && out.back().until > now; }
-    std::uint64_t lowest(Time now) const;  // UINT64_MAX: nothing out
+  // The state of one broker, as its requests report it.
+  struct BrokerState {
+    std::vector<OutstandingGrant> outstanding;  // oldest first
+    std::uint64_t baseline = 0;
+    std::uint64_t incarnation = 0;
+    std::uint64_t previous_incarnation = 0;  // delayed requests of the previous incarnation are ignored
+    bool has_lease(Time now) const { return !outstanding.empty() && outstanding.back().expires_at > now; }
+    // Returns the lowest end of its unexpired leases; UINT64_MAX if there are none.
+    std::uint64_t lowest_high(Time now) const;
     bool may_vote = false;
     std::uint64_t voter_id = 0;
   };
-  const std::map<std::string, Held>& held() const { return held_; }
-  void describe(Time now, std::string& into) const;  // as Holder::describe
+  const std::map<std::string, BrokerState>& brokers() const { return brokers_; }
+  // As LeaseClient::append_state.
+  void append_state(Time now, std::string& into) const;
 
  private:
-  void grant(Time now, const std::string& to, const Ask& ask, const Versions& versions);
-  LeaseTerms terms_;
-  bool leading_ = false;
+  void grant(Time now, const std::string& to, const LeaseRequest& request, const VersionHistory& versions);
+  LeaseSettings settings_;
+  bool is_leading_ = false;
   std::uint64_t term_ = 0;
-  Time earlier_until_ = 0;
+  Time earlier_leases_expire_at_ = 0;  // when the leases of earlier leaders have expired
   std::set<std::string> voters_;
   std::string self_;
-  std::map<std::string, Held> held_;  // as many as the roster
-  std::map<std::string, Ask> waiting_, in_round_;
+  std::map<std::string, BrokerState> brokers_;            // by broker; at most VersionHistory::kMaxBrokers
+  std::map<std::string, LeaseRequest> waiting_requests_;  // requests for the next round, by broker
+  std::map<std::string, LeaseRequest> round_requests_;    // requests of the current round, by broker
   std::uint64_t round_ = 0;
-  Time round_at_ = 0;
-  bool round_out_ = false;
-  std::set<std::string> confirmed_;
-  std::vector<Granted> granted_;
+  Time round_started_at_ = 0;
+  bool round_in_progress_ = false;
+  std::set<std::string> confirmed_by_;  // voters, of the current round
+  std::vector<AddressedGrant> grants_;
 };
 
 }  // namespace cairnhub::shared_config
--- a/src/shared_config/version_history.h
+++ b/src/shared_config/version_history.h
@@ -1,11 +1,13 @@
-// The book of versions: what the log's entries lead to. The same entries in the same order give the same book
-// at every broker; nothing here knows of time, leases or peers.
+// The replicated state machine of the configuration log: a history of versions of the rules.
 //
-// A version is whole and immutable. Versions are numbered from 1 on; the newest of them may wait for force
-// while an older one has it. The common ground is what a broker without a lease acts on; it lies within every
-// version from the one in force on, so that such a broker contradicts nobody. It changes in two steps: while
-// a next ground waits, brokers take the meet of both; once all that are enlisted do, the next one alone
-// counts.
+// The same entries in the same order produce the same state at every broker, so nothing here depends on time,
+// leases or peers.
+//
+// A version is complete and immutable. Versions are numbered from 1; one of them is in force, and newer ones
+// may wait to take effect. The baseline is the rule set that a broker acts on while it holds no lease. It
+// lies within the version in force and within every later one, so a broker without a lease contradicts no
+// other. The baseline changes in two steps: while a next baseline is pending, brokers act on the meet of
+// both; once every enrolled broker does so, the next one replaces the old one.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -20,107 +22,133 @@
 
 namespace cairnhub::shared_config {
 
+// One version of the rules, or a baseline; immutable.
 struct Version {
   std::uint64_t number = 0;
-  std::string text, hash, who, why, id;
-  std::string note;  // beside the rules, for those who make zone shares: what they act on
-  std::shared_ptr<const Rules> rules;
+  std::string text;  // canonical text of `rules`
+  std::string hash;  // of `text`
+  std::string who;
+  std::string why;
+  std::string id;    // of the proposal
+  std::string note;  // the data that the zone shares were computed from
+  std::shared_ptr<const RuleSet> rules;
 };
 
-struct Entry {
-  // propose, propose_ground: `base` is the newest its proposer has seen; one that has brought other settings
-  // since makes it refused. propose_zones: the newest version's rules with the zone shares of these, and a
-  // note; `base` is the version that brought the shares before. order: of an operator, of the zone `name`;
-  // one with no text ends the last. propose_works, ground_works: the same for nodes at work, of the newest
-  // version and of the ground. board: for the board that stands beside the versions.
+// An entry of the replicated log.
+struct ConfigEntry {
   enum class Kind {
-    propose = 1,
-    propose_ground,
-    force,
-    force_ground,
-    enlist,
-    strike,
-    propose_zones,
-    order,
-    propose_works,
-    ground_works,
-    board
+    kProposeVersion = 1,  // a new version; rejected if another proposal changed the settings since `base`
+    kProposeBaseline,     // a new baseline; rejected if another proposal changed its settings since `base`
+    kActivateVersion,     // the version `number` takes effect
+    kActivateBaseline,    // the next baseline, `number`, takes effect
+    kEnrollBroker,        // adds the broker `name` to the enrolled ones
+    kRemoveBroker,        // removes the broker `name` from the enrolled ones
+    kProposeZoneShares,   // the newest version with new zone shares and a note
+    kSetZoneOrder,        // sets an operator's order on the zone `name`; an empty text clears it
+    kProposeMaintenance,  // the newest version with a new set of endpoints in maintenance
+    kProposeBaselineMaintenance,  // the baseline with a new set of endpoints in maintenance
+    kStateMachine                 // for the additional state machine
   };
-  Kind kind = Kind::propose;
-  std::string id, text, who, why, name, note;
-  std::uint64_t base = 0, number = 0;
+  Kind kind = Kind::kProposeVersion;
+  std::string id;    // of the proposal; an entry with a known id is applied once only
+  std::string text;  // rules, a zone order or an entry of the additional state machine, by kind
+  std::string who;
+  std::string why;
+  std::string name;  // of a broker or a zone, by kind
+  std::string note;
+  // The version or baseline that a proposal was made from. For zone shares and maintenance: the one that last
+  // changed them; any other one is rejected.
+  std::uint64_t base = 0;
+  std::uint64_t number = 0;
 };
-std::string encode(const Entry& entry);
-std::optional<Entry> decode_entry(std::string_view bytes);
-
-struct Verdict {
-  std::uint64_t number = 0;  // what the proposal became; 0: refused
-  std::string refused;       // why
+std::string encode(const ConfigEntry& entry);
+// Returns nothing if the bytes are malformed or a field exceeds its limit.
+std::optional<ConfigEntry> decode_entry(std::string_view bytes);
+
+// The result of applying an entry.
+struct ApplyResult {
+  std::uint64_t number = 0;  // the version or baseline that a proposal became; 0: rejected
+  std::string rejection;     // the reason of the rejection
 };
 
-// What else the log carries, kept by another package: the same entries lead to the same board at every voter.
-// Never changed once made.
-class Board {
+// An additional state machine that the log drives beside the versions, implemented by another package. The
+// same entries produce the same state at every voter. An instance is immutable.
+class ReplicatedStateMachine {
  public:
-  virtual ~Board() = default;
-  // `next`: the board after it, where it is not refused.
-  virtual Verdict apply(const Entry& entry, std::shared_ptr<const Board>& next) const = 0;
+  virtual ~ReplicatedStateMachine() = default;
+  // Sets `next` to the state after the entry, unless the entry is rejected.
+  virtual ApplyResult apply(const ConfigEntry& entry,
+                            std::shared_ptr<const ReplicatedStateMachine>& next) const = 0;
   virtual std::string snapshot() const = 0;
-  virtual std::shared_ptr<const Board> restore(std::string_view bytes) const = 0;  // null: can't be used
+  // Returns null if the bytes are malformed.
+  virtual std::shared_ptr<const ReplicatedStateMachine> restore(std::string_view bytes) const = 0;
 };
 
-// What an operator has ordered of a zone, until it is ended.
-struct Order {
-  std::string what, who, why;
+// An operator's order on a zone; it holds until the operator clears it.
+struct ZoneOrder {
+  std::string action;  // "evacuate" or "hold"
+  std::string who;
+  std::string why;
 };
 
-class Versions {
+// The state that the entries of the log produce.
+class VersionHistory {
  public:
-  explicit Versions(std::shared_ptr<const Board> board = nullptr);
+  // `state_machine`: the initial state of the additional state machine, if the log drives one.
+  explicit VersionHistory(std::shared_ptr<const ReplicatedStateMachine> state_machine = nullptr);
 
-  Verdict apply(const Entry& entry);
+  // Applies one entry of the log.
+  ApplyResult apply(const ConfigEntry& entry);
 
   std::uint64_t newest() const { return versions_.rbegin()->first; }
   std::uint64_t in_force() const { return in_force_; }
-  const std::map<std::uint64_t, Version>& all() const { return versions_; }
-  const Version* at(std::uint64_t number) const;
-  const Version& ground() const { return ground_; }
-  const std::optional<Version>& ground_next() const { return ground_next_; }
-  const std::set<std::string>& roster() const { return roster_; }
-  const std::map<std::string, Order>& orders() const { return orders_; }  // by zone
-  // The version that brought the shares, the nodes at work, the ground that brought those; 0: none yet.
-  std::uint64_t zones_from() const { return zones_from_; }
-  std::uint64_t works_from() const { return works_from_; }
-  std::uint64_t ground_works_from() const { return ground_works_from_; }
-
-  const std::shared_ptr<const Board>& board() const { return board_; }
+  const std::map<std::uint64_t, Version>& versions() const { return versions_; }
+  // Returns null if the version is unknown or has been dropped.
+  const Version* find(std::uint64_t number) const;
+  const Version& baseline() const { return baseline_; }
+  const std::optional<Version>& next_baseline() const { return next_baseline_; }
+  // The brokers that must take up a baseline before it takes effect.
+  const std::set<std::string>& enrolled_brokers() const { return enrolled_brokers_; }
+  const std::map<std::string, ZoneOrder>& zone_orders() const { return zone_orders_; }  // by zone
+  // The last version that changed the zone shares, the last that changed the endpoints in maintenance, and
+  // the last baseline that changed those; 0: none.
+  std::uint64_t zone_shares_version() const { return zone_shares_version_; }
+  std::uint64_t maintenance_version() const { return maintenance_version_; }
+  std::uint64_t baseline_maintenance_version() const { return baseline_maintenance_version_; }
+
+  const std::shared_ptr<const ReplicatedStateMachine>& state_machine() const { return state_machine_; }
 
   std::string snapshot() const;
-  bool restore(std::string_view bytes);  // false, and nothing taken, where it can't be used
+  // Replaces the state; returns false and changes nothing if the bytes are malformed.
+  bool restore(std::string_view bytes);
 
-  static constexpr std::size_t kKept = 128;     // versions below the one in force
-  static constexpr std::size_t kWaiting = 512;  // versions above it
-  static constexpr std::size_t kSeen = 1024;    // ids of proposals
-  static constexpr std::size_t kRoster = 4096;
-  static constexpr std::size_t kOrders = 64;
+  static constexpr std::size_t kMaxOldVersions = 128;      // versions older than the one in force
+  static constexpr std::size_t kMaxPendingVersions = 512;  // versions newer than the one in force
+  static constexpr std::size_t kMaxProposalIds = 1024;     // ids of proposals
+  static constexpr std::size_t kMaxBrokers = 4096;
+  static constexpr std::size_t kMaxZoneOrders = 64;
 
  private:
-  Verdict propose(const Entry& e);
-  Verdict propose_ground(const Entry& e);
-  Verdict order(const Entry& e);
-  Verdict on_board(const Entry& e);
-  void forget_old();
+  ApplyResult propose(const ConfigEntry& e);
+  ApplyResult propose_baseline(const ConfigEntry& e);
+  ApplyResult set_zone_order(const ConfigEntry& e);
+  ApplyResult apply_to_state_machine(const ConfigEntry& e);
+  void drop_old_versions();
 
-  std::map<std::uint64_t, Version> versions_;  // never empty: version 1 takes nothing away
+  std::map<std::uint64_t, Version> versions_;  // never empty: version 1 restricts nothing
   std::uint64_t in_force_ = 1;
-  Version ground_;
-  std::optional<Version> ground_next_;
-  std::set<std::string> roster_;
-  std::map<std::string, Order> orders_;
-  std::shared_ptr<const Board> board_;
-  std::uint64_t zones_from_ = 0, works_from_ = 0, ground_works_from_ = 0;
-  std::uint64_t settings_from_ = 1, ground_settings_from_ = 1;  // that an operator brought
-  std::deque<std::pair<std::string, std::uint64_t>> seen_;
+  Version baseline_;
+  std::optional<Version> next_baseline_;
+  std::set<std::string> enrolled_brokers_;
+  std::map<std::string, ZoneOrder> zone_orders_;
+  std::shared_ptr<const ReplicatedStateMachine> state_machine_;
+  std::uint64_t zone_shares_version_ = 0;
+  std::uint64_t maintenance_version_ = 0;
+  std::uint64_t baseline_maintenance_version_ = 0;
+  std::uint64_t settings_version_ = 1;           // the last version that an operator proposed
+  std::uint64_t baseline_settings_version_ = 1;  // the last baseline that an operator proposed
+  std::deque<std::pair<std::string, std::uint64_t>>
+      recent_proposals_;  // id and result of recent proposals, oldest first
 };
 
 }  // namespace cairnhub::shared_config
--- a/src/zone_failover/traffic_split.cpp
+++ b/src/zone_failover/traffic_split.cpp
@@ -18,7 +18,7 @@
                            const TrafficSplitOptions& options) {
   const std::size_t n = zones.size();
   TrafficSplit split;
-  split.shares.otherwise = options.min_share_thousandths;
+  split.shares.default_thousandths = options.min_share_thousandths;
   const double min_share = options.min_share_thousandths / 1000.0;
   double total_demand = 0;
   for (const ZoneTraffic& zone : zones) total_demand += zone.demand_per_second;
@@ -128,7 +128,7 @@
           (zones[from].demand_per_second > 0 ? flow[from][to] / zones[from].demand_per_second : 0) +
           (is_open(from, to) ? allowance : 0) + min_share;
       // Rounded down: if every share were rounded up, their sum could exceed the zone's spare.
-      split.shares.set(
+      split.shares.set_thousandths(
           zones[from].zone, zones[to].zone,
           std::clamp(static_cast<int>(std::floor(1000 * share + 1e-9)), options.min_share_thousandths, 1000));
     }
--- a/src/zone_failover/zone_failover.h
+++ b/src/zone_failover/zone_failover.h
@@ -93,12 +93,13 @@
   void remove_broker(const std::string& broker) { evaluator_.remove_broker(broker); }
 
   // Returns the entry to propose, if any. The leader calls this after each of its reports, with its versions.
-  std::optional<shared_config::Entry> propose_change(Time now, const shared_config::Versions& versions);
+  std::optional<shared_config::ConfigEntry> propose_change(Time now,
+                                                           const shared_config::VersionHistory& versions);
   void stop_leading() { is_leading_ = false; }
 
   // Returns the limits that this broker acts on, by zone number. `note` is that of the newest version that
   // the broker holds a lease on, null without a lease.
-  std::vector<ZoneLimit> zone_limits(const shared_config::Rules& rules, const std::string* note) const;
+  std::vector<ZoneLimit> zone_limits(const shared_config::RuleSet& rules, const std::string* note) const;
   // Zones are numbered, the home zone is 0. A zone that is not configured gets the number after the last.
   int zone_number(const std::string& zone) const;
   const std::string& zone_name(int number) const;  // empty for that number
@@ -118,7 +119,7 @@
   // Whether the new decision and split differ enough from the previous; sets `reason` if they do.
   bool is_worth_proposing(Time now, const Previous& previous, const FailoverDecision& decision,
                           const TrafficSplit& split, std::string& reason);
-  const shared_config::Order* order_for(const std::string& zone_or_region) const;
+  const shared_config::ZoneOrder* order_for(const std::string& zone_or_region) const;
   void update_regions(Time now, std::vector<ZoneTraffic>& traffic, bool newest_is_in_force,
                       const FailoverDecision& previous, FailoverDecision& decision);
 
@@ -132,7 +133,7 @@
   ZoneHealthView health_view_;
   std::map<std::string, FailoverStateMachine> zones_, regions_;
   std::map<std::string, ZoneHealth> region_health_;
-  std::map<std::string, shared_config::Order> orders_;
+  std::map<std::string, shared_config::ZoneOrder> orders_;
   Time next_report_at_ = 0;
   Time changed_at_ = 0;
   bool is_leading_ = false;
--- a/tests/works.cpp
+++ b/tests/works.cpp
@@ -31,10 +31,10 @@
 Time end_at = 5;
 int removed_defence = 0;
 
-LeaseTerms lease_terms() {
-  LeaseTerms terms;
-  terms.stated = 4;  // a span of 2 steps
-  terms.drift = 0;
+LeaseSettings lease_terms() {
+  LeaseSettings terms;
+  terms.max_divergence = 4;  // a span of 2 steps
+  terms.max_clock_drift = 0;
   return terms;
 }
 maintenance::MaintenanceControllerOptions controller_options() {
@@ -57,8 +57,8 @@
 }
 
 // Histories by number, so that a state's key holds a number: equal histories have the same one.
-std::vector<Versions> histories;
-int history_after(int history, Entry entry) {
+std::vector<VersionHistory> histories;
+int history_after(int history, ConfigEntry entry) {
   static std::map<std::pair<int, std::string>, int> by_entry;
   static std::map<std::string, int> by_content;
   // Not part of the state.
@@ -66,7 +66,7 @@
   entry.why.clear();
   const auto [it, is_new_entry] = by_entry.try_emplace({history, encode(entry)}, 0);
   if (!is_new_entry) return it->second;
-  Versions next = histories[static_cast<std::size_t>(history)];
+  VersionHistory next = histories[static_cast<std::size_t>(history)];
   next.apply(entry);
   const auto [at, is_new_history] =
       by_content.try_emplace(next.snapshot(), static_cast<int>(histories.size()));
@@ -77,33 +77,33 @@
 struct State {
   Time now = 1;
   int history = 0;
-  std::vector<Holder> holders{broker_count, Holder(lease_terms(), Rules{})};
+  std::vector<LeaseClient> holders{broker_count, LeaseClient(lease_terms(), RuleSet{})};
   int lease_requests[kMaxBrokers] = {0, 0};
   int attempts[kMaxBrokers] = {0, 0};
   Time open_since[kMaxBrokers] = {0, 0};  // an attempt at the endpoint; 0: none
-  Leases leader{lease_terms()};
+  LeaseManager leader{lease_terms()};
   maintenance::MaintenanceController controller{controller_options(), "v1"};
   int leader_changes = 0;
   // Decided by the leader, not yet committed.
   std::uint64_t version_to_force = 0;
   std::uint64_t baseline_to_force = 0;
-  std::optional<Entry> proposed;  // by the controller, not yet committed
-  std::vector<std::pair<int, Ask>> asks;
-  std::vector<std::pair<int, Grant>> grants;
+  std::optional<ConfigEntry> proposed;  // by the controller, not yet committed
+  std::vector<std::pair<int, LeaseRequest>> asks;
+  std::vector<std::pair<int, LeaseGrant>> grants;
   std::vector<std::pair<int, maintenance::OpenAttemptsReport>> reports;
 
-  const Versions& versions() const { return histories[static_cast<std::size_t>(history)]; }
+  const VersionHistory& versions() const { return histories[static_cast<std::size_t>(history)]; }
   const maintenance::Job& job() const {
-    return static_cast<const maintenance::JobQueue&>(*versions().board()).jobs().begin()->second;
+    return static_cast<const maintenance::JobQueue&>(*versions().state_machine()).jobs().begin()->second;
   }
   std::size_t messages_in_flight() const { return asks.size() + grants.size() + reports.size(); }
   // Whether the broker may open an attempt at the endpoint.
   bool may_send(std::size_t broker) const {
     // Without defence 3 the broker doesn't look at its clock and acts on under its last lease.
-    const Time at = removed_defence == 3 && holders[broker].until() > 0
-                        ? std::min(now, holders[broker].until() - 1)
+    const Time at = removed_defence == 3 && holders[broker].lease_expires_at() > 0
+                        ? std::min(now, holders[broker].lease_expires_at() - 1)
                         : now;
-    return holders[broker].acting(at)->rules->at_work.count("n") == 0;
+    return holders[broker].active_config(at)->rules->endpoints_in_maintenance.count("n") == 0;
   }
   std::string key() const {
     std::string key = std::to_string(now) + ' ' + std::to_string(history) + ' ' +
@@ -111,22 +111,22 @@
                       std::to_string(leader_changes);
     for (std::size_t i = 0; i < broker_count; ++i) {
       key += ' ' + std::to_string(lease_requests[i]) + std::to_string(attempts[i]) +
-             std::to_string(open_since[i]) + text_of(holders[i].grounded());
-      holders[i].describe(now, key);
+             std::to_string(open_since[i]) + canonical_text(holders[i].baseline_rules());
+      holders[i].append_state(now, key);
     }
-    leader.describe(now, key);
+    leader.append_state(now, key);
     controller.append_state(now, key);
     if (proposed) key += encode(*proposed);
     for (const auto& [broker, ask] : asks) {
       key += 'a' + std::to_string(broker) + ' ' + std::to_string(ask.sequence) + ' ' +
-             std::to_string(ask.taken) + ' ' + std::to_string(ask.have) + ' ' + std::to_string(ask.ground) +
-             ' ' + std::to_string(ask.settled);
+             std::to_string(ask.current_grant) + ' ' + std::to_string(ask.newest_version) + ' ' +
+             std::to_string(ask.baseline) + ' ' + std::to_string(ask.settled_baseline);
     }
     for (const auto& [broker, grant] : grants) {
       key += 'g' + std::to_string(broker) + ' ' + std::to_string(grant.sequence) + ' ' +
              std::to_string(grant.low) + ' ' + std::to_string(grant.high) + ' ' +
-             std::to_string(grant.ground ? grant.ground->number : 0) + ' ' +
-             std::to_string(grant.ground_next ? grant.ground_next->number : 0) + ' ' +
+             std::to_string(grant.baseline ? grant.baseline->number : 0) + ' ' +
+             std::to_string(grant.next_baseline ? grant.next_baseline->number : 0) + ' ' +
              std::to_string(grant.versions.size());
     }
     for (const auto& [broker, report] : reports) {
@@ -146,10 +146,10 @@
 
 // The leader is the only voter here, and confirms its own round at once.
 void confirm_round(State& state) {
-  if (const auto round = state.leader.round(state.now)) {
-    state.leader.confirmed(state.now, "v1", 1, *round, state.versions());
+  if (const auto round = state.leader.start_round(state.now)) {
+    state.leader.handle_confirmation(state.now, "v1", 1, *round, state.versions());
   }
-  for (auto& granted : state.leader.granted()) {
+  for (auto& granted : state.leader.take_grants()) {
     state.grants.emplace_back(granted.to == "x" ? 0 : 1, std::move(granted.grant));
   }
 }
@@ -169,7 +169,7 @@
     if (state.lease_requests[i] < max_lease_requests && state.messages_in_flight() < kMaxMessagesInFlight) {
       State& next = add_next();
       ++next.lease_requests[i];
-      next.asks.emplace_back(static_cast<int>(i), next.holders[i].ask(next.now));
+      next.asks.emplace_back(static_cast<int>(i), next.holders[i].make_request(next.now));
     }
     if (state.attempts[i] < max_attempts && !state.open_since[i] && state.may_send(i)) {
       State& next = add_next();
@@ -178,8 +178,9 @@
     }
     if (state.open_since[i]) add_next().open_since[i] = 0;
     // A report of open attempts, under the lease that the broker acts on at this moment.
-    const auto& acting = *state.holders[i].acting(state.now);
-    if (acting.low && acting.rules->at_work.count("n") && state.messages_in_flight() < kMaxMessagesInFlight) {
+    const auto& acting = *state.holders[i].active_config(state.now);
+    if (acting.low && acting.rules->endpoints_in_maintenance.count("n") &&
+        state.messages_in_flight() < kMaxMessagesInFlight) {
       State& next = add_next();
       maintenance::OpenAttemptsReport report;
       report.lease_low_version = acting.low;
@@ -196,7 +197,7 @@
     State& next = add_next();
     const auto [broker, ask] = next.asks[m];
     erase_at(next.asks, m);
-    next.leader.asked(next.now, kBrokerNames[broker], ask);
+    next.leader.handle_request(next.now, kBrokerNames[broker], ask);
     confirm_round(next);
   }
   for (std::size_t m = 0; m < state.grants.size(); ++m) {
@@ -204,7 +205,7 @@
     State& next = add_next();
     const auto [broker, grant] = next.grants[m];
     erase_at(next.grants, m);
-    next.holders[static_cast<std::size_t>(broker)].answered(next.now, grant);
+    next.holders[static_cast<std::size_t>(broker)].handle_grant(next.now, grant);
   }
   for (std::size_t m = 0; m < state.reports.size(); ++m) {
     erase_at(add_next().reports, m);
@@ -213,36 +214,36 @@
     erase_at(next.reports, m);
     next.controller.record_report(next.now, kBrokerNames[broker], report);
   }
-  const auto history_with = [&](Entry::Kind kind, std::uint64_t number) {
-    Entry entry;
+  const auto history_with = [&](ConfigEntry::Kind kind, std::uint64_t number) {
+    ConfigEntry entry;
     entry.kind = kind;
     entry.number = number;
     return history_after(state.history, entry);
   };
   if (!state.version_to_force) {
-    if (const auto version = state.leader.may_force(state.now, state.versions())) {
+    if (const auto version = state.leader.activatable_version(state.now, state.versions())) {
       add_next().version_to_force = version;
     }
   }
   if (state.version_to_force) {
     State& next = add_next();
-    next.history = history_with(Entry::Kind::force, state.version_to_force);
+    next.history = history_with(ConfigEntry::Kind::kActivateVersion, state.version_to_force);
     next.version_to_force = 0;
   }
-  if (!state.baseline_to_force && state.versions().ground_next() &&
-      state.leader.may_force_ground(state.versions())) {
-    add_next().baseline_to_force = state.versions().ground_next()->number;
+  if (!state.baseline_to_force && state.versions().next_baseline() &&
+      state.leader.may_activate_baseline(state.versions())) {
+    add_next().baseline_to_force = state.versions().next_baseline()->number;
   }
   if (state.baseline_to_force) {
     State& next = add_next();
-    next.history = history_with(Entry::Kind::force_ground, state.baseline_to_force);
+    next.history = history_with(ConfigEntry::Kind::kActivateBaseline, state.baseline_to_force);
     next.baseline_to_force = 0;
   }
   if (!state.proposed) {
     State& next = add_next();
     maintenance::LeaderView view;
     view.fleet_status = fleet_status();
-    view.leases = next.leader.held();
+    view.leases = next.leader.brokers();
     next.proposed = next.controller.next_entry(next.now, 0, next.versions(), view);
     if (!next.proposed && next.key() == state.key()) all.pop_back();
   } else {
@@ -257,8 +258,8 @@
     next.proposed.reset();
     next.version_to_force = next.baseline_to_force = 0;
     next.controller = maintenance::MaintenanceController(controller_options(), "v1");
-    next.leader = Leases(lease_terms());
-    next.leader.leads(next.now, 1, kVoters, "v1");
+    next.leader = LeaseManager(lease_terms());
+    next.leader.start_term(next.now, 1, kVoters, "v1");
   }
   return all;
 }
@@ -277,15 +278,17 @@
   }
   histories.emplace_back(std::make_shared<maintenance::JobQueue>());
   State first;
-  const auto commit = [&](Entry entry) { first.history = history_after(first.history, std::move(entry)); };
+  const auto commit = [&](ConfigEntry entry) {
+    first.history = history_after(first.history, std::move(entry));
+  };
   for (std::size_t i = 0; i < broker_count; ++i) {
-    Entry entry;
-    entry.kind = Entry::Kind::enlist;
+    ConfigEntry entry;
+    entry.kind = ConfigEntry::Kind::kEnrollBroker;
     entry.name = kBrokerNames[i];
     commit(entry);
   }
-  Entry entry;
-  entry.kind = Entry::Kind::board;
+  ConfigEntry entry;
+  entry.kind = ConfigEntry::Kind::kStateMachine;
   maintenance::JobOperation operation;
   operation.fleet_status = fleet_status();
   entry.text = maintenance::encode_operation(operation);
@@ -297,7 +300,7 @@
   operation.request->duration = kSecond;
   entry.text = maintenance::encode_operation(operation);
   commit(entry);
-  first.leader.leads(first.now - lease_terms().span(), 1, kVoters, "v1");
+  first.leader.start_term(first.now - lease_terms().lease_duration(), 1, kVoters, "v1");
   bool was_handed_over = false;
   bool with_lease = false;
   bool without_lease = false;
@@ -305,7 +308,7 @@
     if (state.job().state != maintenance::JobState::kInMaintenance) return;
     was_handed_over = true;
     for (std::size_t i = 0; i < broker_count; ++i) {
-      (state.holders[i].until() > state.now ? with_lease : without_lease) = true;
+      (state.holders[i].lease_expires_at() > state.now ? with_lease : without_lease) = true;
     }
   });
   if (removed_defence) {
