--- a/src/opensearch/response.h
+++ b/src/opensearch/response.h
@@ -1,5 +1,5 @@
-// What a client of the API is told, from what really happened to each block. The one place where the ends of
-// sends become the API's words. No I/O.
+// Builds the HTTP responses of the OpenSearch-style API from a merged result and the outcome of each shard.
+// The only place that maps the outcomes of attempts to error types of the API. No I/O.
 #pragma once
 #include <optional>
 #include <string>
@@ -9,42 +9,45 @@
 
 namespace cairnhub::opensearch {
 
-// Why a block is not in.
-struct Failure {
+// A shard whose answer is missing, and the reason.
+struct ShardFailure {
   std::string index;
-  int block = 0;
-  std::string node;  // empty: none was sent to
-  enum class How {
-    no_holder,      // nothing could be sent
-    not_connected,  // surely not run
-    rejected,       // turned away by the node: surely not run
-    broken,         // may have run
-    timed_out,      // may have run, or may yet
-    error,          // the node's own word: may have run
-    unusable,       // an answer that can't be used: has run
-  } how = How::no_holder;
-  std::string detail;  // unusable: what is wrong
+  int shard = 0;
+  std::string node;  // the name of the last endpoint tried; empty if there was no attempt
+  enum class Kind {
+    kNoReplica,      // no attempt could be made
+    kNotConnected,   // the search did not run
+    kRejected,       // by the endpoint; the search did not run
+    kDisconnected,   // the search may have run
+    kTimedOut,       // the search may have run or may still run
+    kError,          // reported by the endpoint; the search may have run
+    kInvalidAnswer,  // the search ran
+  } kind = Kind::kNoReplica;
+  std::string detail;  // for kInvalidAnswer: why the answer is invalid
 };
-bool surely_not_run(Failure::How how);
+bool is_known_not_run(ShardFailure::Kind kind);
 
-struct Shards {
-  int total = 0;    // blocks of the indices asked
-  int skipped = 0;  // not needed, as any n of them make a whole answer
-  std::vector<Failure> failures;
+struct ShardSummary {
+  int total = 0;    // shards of the index
+  int skipped = 0;  // without an answer although the response is complete: the required share had answered
+  std::vector<ShardFailure> failures;
 };
 
-json shards_json(const Shards& shards);
+// Returns the `_shards` object of a response.
+json shards_json(const ShardSummary& shards);
 
-// One search's answer. `whole`: as the core says.
-struct Outcome {
+struct ApiResponse {
   int status = 200;
   std::string body;
 };
-Outcome search_answer(const Search& search, const Merged& merged, const Shards& shards, bool whole,
-                      std::int64_t took_ms);
-Outcome count_answer(const Merged& merged, const Shards& shards, bool whole);
-Outcome pushed_back();                 // 429
-Outcome failed(const Shards& shards);  // 503: nothing that may be answered
-Outcome fault(const Fault& fault);
+// `is_complete`: the required share of the shards has answered.
+ApiResponse search_response(const Search& search, const MergedResult& merged, const ShardSummary& shards,
+                            bool is_complete, std::int64_t took_ms);
+ApiResponse count_response(const MergedResult& merged, const ShardSummary& shards, bool is_complete);
+// Status 429.
+ApiResponse too_many_requests_response();
+// Status 503: there is nothing that may be returned.
+ApiResponse all_shards_failed_response(const ShardSummary& shards);
+ApiResponse error_response(const ApiError& error);
 
 }  // namespace cairnhub::opensearch
