--- a/src/cli/accord.cpp
+++ b/src/cli/accord.cpp
@@ -223,10 +223,12 @@
 // @throws std::runtime_error where the options state no folder
 std::unique_ptr<shared_config::Kept> open_store(const options::Options& broker_options,
                                                 std::uint64_t voter_id) {
-  if (!broker_options.fleet || !broker_options.fleet->accord || broker_options.fleet->accord->folder.empty())
+  if (!broker_options.cluster || !broker_options.cluster->shared_config ||
+      broker_options.cluster->shared_config->store_folder.empty())
     throw std::runtime_error(broker_options.file + ": states no accord with a folder");
   std::string damaged_path;
-  auto store = shared_config::Kept::open(broker_options.fleet->accord->folder, voter_id, &damaged_path);
+  auto store =
+      shared_config::Kept::open(broker_options.cluster->shared_config->store_folder, voter_id, &damaged_path);
   if (!damaged_path.empty())
     std::fprintf(stderr, "cairnhub: the store was damaged and is set aside as %s\n", damaged_path.c_str());
   return store;
@@ -235,23 +237,23 @@
 // Creates the store of one of the first voters.
 int init(const ClientOptions& options) {
   const auto broker_options = options::read(options.options_path);
-  if (!broker_options.fleet || !broker_options.fleet->accord)
+  if (!broker_options.cluster || !broker_options.cluster->shared_config)
     throw std::runtime_error(broker_options.file + ": states no accord");
-  const auto& voters = broker_options.fleet->accord->voters;
-  if (std::find(voters.begin(), voters.end(), broker_options.fleet->name) == voters.end())
-    return report_error(kFailure, broker_options.fleet->name + " is not among the voters stated");
-  if (shared_config::Kept::there(broker_options.fleet->accord->folder)) {
-    return report_error(kFailure,
-                        broker_options.fleet->accord->folder + " holds a store already; nothing is changed");
+  const auto& voters = broker_options.cluster->shared_config->voters;
+  if (std::find(voters.begin(), voters.end(), broker_options.cluster->name) == voters.end())
+    return report_error(kFailure, broker_options.cluster->name + " is not among the voters stated");
+  if (shared_config::Kept::there(broker_options.cluster->shared_config->store_folder)) {
+    return report_error(kFailure, broker_options.cluster->shared_config->store_folder +
+                                      " holds a store already; nothing is changed");
   }
-  const auto store = open_store(broker_options, shared_config::first_voter_id(broker_options.fleet->name));
+  const auto store = open_store(broker_options, shared_config::first_voter_id(broker_options.cluster->name));
   std::vector<shared_config::Voter> first_voters;
   for (const auto& voter : voters)
     first_voters.push_back({shared_config::first_voter_id(voter), voter, true});
   if (!shared_config::Engine::bootstrap(*store, first_voters))
     return report_error(kFailure, "the store can't be written");
   std::printf("%s is a voter of %zu; init the others with the same voters, once each, then start them\n",
-              broker_options.fleet->name.c_str(), voters.size());
+              broker_options.cluster->name.c_str(), voters.size());
   return kSuccess;
 }
 
@@ -267,10 +269,10 @@
   const auto store = open_store(broker_options, 1);
   if (store->loaded().term == 0) return report_error(kFailure, "this store holds no log");
   if (!shared_config::Engine::force_voters(*store,
-                                           {{store->loaded().voter_id, broker_options.fleet->name, true}}))
+                                           {{store->loaded().voter_id, broker_options.cluster->name, true}}))
     return report_error(kFailure, "the store can't be written");
   std::printf("%s is the only voter now; the others begin with empty folders and are taken in one by one\n",
-              broker_options.fleet->name.c_str());
+              broker_options.cluster->name.c_str());
   return kSuccess;
 }
 
--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -54,11 +54,11 @@
           throw std::runtime_error("configuration: discovery is not an address");
       } else {
         const auto options = options::read(file);
-        if (options.fleet) transport::read_keys(options.fleet->key_file);
+        if (options.cluster) transport::read_keys(options.cluster->key_path);
         if (config) {
-          options::resolve(options, config->settings);
-          options::resolve_indices(options, config->settings);
-          options::check_fleet(options, config->settings);
+          options::resolve_two_phase_classes(options, config->settings);
+          options::resolve_search_indices(options, config->settings);
+          options::check_cluster(options, config->settings);
         }
       }
       std::printf("%s: good\n", file.c_str());
--- a/src/cli/operator.cpp
+++ b/src/cli/operator.cpp
@@ -68,7 +68,7 @@
   if (!client_options.address.empty()) return client_options.address;
   if (client_options.options_path.empty()) return "";
   const auto options = options::read(client_options.options_path);
-  return options.fleet ? options.fleet->operators : "";
+  return options.cluster ? options.cluster->admin_address : "";
 }
 
 }  // namespace
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -54,8 +54,8 @@
  public:
   EndpointRegistryView(const dispatch::EndpointRegistry& endpoints, const settings::Settings& settings)
       : endpoints_(endpoints),
-        ring_positions_(settings.whole("family-info.positions")),
-        replicas_(settings.whole("family-info.width")) {}
+        ring_positions_(settings.integer("family-info.positions")),
+        replicas_(settings.integer("family-info.width")) {}
   std::string endpoint_name(EndpointId id) const override { return endpoints_.name_of(id); }
   std::vector<std::string> replica_names(int shard) const override {
     std::vector<std::string> names;
@@ -92,28 +92,28 @@
     opensearch::Limits search_limits;
     if (!options_path.empty()) {
       const auto options = options::read(options_path);
-      for (const auto& two_phase_class : options::resolve(options, config.settings)) {
+      for (const auto& two_phase_class : options::resolve_two_phase_classes(options, config.settings)) {
         broker_options.two_phase_classes.push_back(
-            {two_phase_class.op_type, two_phase_class.op, two_phase_class.terms});
+            {two_phase_class.class_index, two_phase_class.properties, two_phase_class.terms});
       }
-      for (const auto& resolved : options::resolve_indices(options, config.settings)) {
-        indices.push_back({resolved.index.name, resolved.index.first, resolved.index.blocks, resolved.op_type,
-                           resolved.index.timeout});
+      for (const auto& resolved : options::resolve_search_indices(options, config.settings)) {
+        indices.push_back({resolved.index.name, resolved.index.first_shard, resolved.index.shard_count,
+                           resolved.class_index, resolved.index.timeout});
       }
-      options::check_fleet(options, config.settings);
-      if (options.fleet) {
+      options::check_cluster(options, config.settings);
+      if (options.cluster) {
         cluster_node =
-            std::make_unique<cluster::ClusterNode>(base, *options.fleet, config.settings, config.seed);
-        if (!options.fleet->operators.empty()) {
+            std::make_unique<cluster::ClusterNode>(base, *options.cluster, config.settings, config.seed);
+        if (!options.cluster->admin_address.empty()) {
           admin_api = std::make_unique<cluster::AdminApi>(base, *cluster_node);
         }
         broker_options.cluster_control = cluster_node.get();
       }
       if (options.search) {
         broker_options.search_flavor = options.search->flavor;
-        broker_options.max_search_body_bytes = options.search->answer_most;
-        search_limits.window_most = options.search->window_most;
-        search_limits.items_most = options.search->items_most;
+        broker_options.max_search_body_bytes = options.search->max_response_bytes;
+        search_limits.window_most = options.search->max_window;
+        search_limits.items_most = options.search->max_items;
       }
     }
     if (cluster_node) {
--- a/src/cluster/admin_api.cpp
+++ b/src/cluster/admin_api.cpp
@@ -29,7 +29,7 @@
 }  // namespace
 
 AdminApi::AdminApi(event_base* base, ClusterNode& node) : node_(node), http_(evhttp_new(base)) {
-  const std::string& address = node.options().operators;
+  const std::string& address = node.options().admin_address;
   const auto colon = address.rfind(':');
   evhttp_set_max_body_size(http_, 256 << 10);
   evhttp_set_max_headers_size(http_, 8 << 10);
--- a/src/cluster/cluster_node.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -33,27 +33,27 @@
 // A list that is behind for less may still be on its way from the agent.
 constexpr Time kMaxListLag = 3 * kSecond / 10;
 
-membership::MembershipOptions membership_options(const options::Fleet& options) {
+membership::MembershipOptions membership_options(const options::ClusterOptions& options) {
   membership::MembershipOptions result;
-  result.probe_interval = options.probe;
-  result.probe_timeout = options.answer_within;
-  result.ping_resend_interval = options.answer_within / 4;
-  result.dead_member_retry_interval = std::min<Time>(kSecond, 2 * options.probe);
-  result.min_full_sync_interval = 4 * options.probe;
+  result.probe_interval = options.probe_interval;
+  result.probe_timeout = options.probe_timeout;
+  result.ping_resend_interval = options.probe_timeout / 4;
+  result.dead_member_retry_interval = std::min<Time>(kSecond, 2 * options.probe_interval);
+  result.min_full_sync_interval = 4 * options.probe_interval;
   return result;
 }
 
-shared_config::Terms shared_config_terms(const options::Accord& options) {
+shared_config::Terms shared_config_terms(const options::SharedConfigOptions& options) {
   shared_config::Terms terms;
-  terms.lease.stated = options.stated;
-  terms.lease.drift = options.drift;
+  terms.lease.stated = options.max_divergence_time;
+  terms.lease.drift = options.max_clock_drift;
   terms.voters = options.voters;
   terms.life = randombytes_random();
-  terms.replace_after = options.replace_after;
+  terms.replace_after = options.voter_replacement_delay;
   // Elections take a small share of the stated time, so that the first commits after an election fit into it
   // as well.
   const Time ms = kSecond / 1000;
-  terms.engine.election = std::clamp<Time>(options.stated / 8, 60 * ms, 300 * ms);
+  terms.engine.election = std::clamp<Time>(options.max_divergence_time / 8, 60 * ms, 300 * ms);
   terms.engine.heartbeat = terms.engine.election / 5;
   terms.engine.tick = std::max<Time>(5 * ms, terms.engine.election / 15);
   return terms;
@@ -65,29 +65,29 @@
 // Fewer attempts within the load window say nothing about a zone's health.
 constexpr double kMinAttemptsInWindow = 5;
 
-zone_failover::ZoneFailoverOptions zone_failover_options(const options::Zones& options) {
+zone_failover::ZoneFailoverOptions zone_failover_options(const options::ZoneFailoverOptions& options) {
   zone_failover::ZoneFailoverOptions result;
-  result.home_zone = options.home;
+  result.home_zone = options.home_zone;
   for (const auto& zone : options.zones)
-    result.zones.push_back({zone.name, zone.region, zone.host_parts_a_second});
-  result.zone_failover.confirmation_time = options.confirm;
-  result.zone_failover.min_dwell = options.dwell;
-  result.zone_failover.max_dwell = 16 * options.dwell;
-  result.zone_failover.step_interval = options.step;
+    result.zones.push_back({zone.name, zone.region, zone.endpoint_capacity_per_second});
+  result.zone_failover.confirmation_time = options.confirmation_time;
+  result.zone_failover.min_dwell = options.min_dwell;
+  result.zone_failover.max_dwell = 16 * options.min_dwell;
+  result.zone_failover.step_interval = options.step_interval;
   result.region_failover = result.zone_failover;
-  result.region_failover.confirmation_time = options.region_confirm;
-  result.region_failover.min_dwell = options.region_dwell;
-  result.region_failover.max_dwell = 16 * options.region_dwell;
-  result.traffic_split.headroom_share = options.headroom;
-  result.traffic_split.min_share_thousandths = options.ground_share;
+  result.region_failover.confirmation_time = options.region_confirmation_time;
+  result.region_failover.min_dwell = options.min_region_dwell;
+  result.region_failover.max_dwell = 16 * options.min_region_dwell;
+  result.traffic_split.headroom_share = options.headroom_share;
+  result.traffic_split.min_share_thousandths = options.min_share_thousandths;
   // Several reports must fall within the confirmation time.
-  result.report_interval = std::max<Time>(options.confirm / 4, kSecond / 20);
+  result.report_interval = std::max<Time>(options.confirmation_time / 4, kSecond / 20);
   result.load_window = 2 * result.report_interval;
   result.health.max_report_age = 3 * result.report_interval;
   result.health.min_attempts_per_second = kMinAttemptsInWindow / seconds(result.load_window);
-  result.increase_delay = options.dwell;
-  result.local_queue_advantage = options.near_step;
-  result.exploration_share = options.look_around;
+  result.increase_delay = options.min_dwell;
+  result.local_queue_advantage = options.local_queue_advantage;
+  result.exploration_share = options.exploration_share;
   return result;
 }
 
@@ -95,42 +95,44 @@
   return state == EndpointState::kReady ? "ready" : state == EndpointState::kDraining ? "draining" : "gone";
 }
 
-shared_config::Rules read_baseline(const options::Accord& options) {
-  if (options.ground_file.empty()) return {};
-  std::ifstream in(options.ground_file, std::ios::binary);
-  if (!in) throw std::runtime_error(options.ground_file + ": the file with the baseline rules can't be read");
-  return shared_config::parse_rules({std::istreambuf_iterator<char>(in), {}}, options.ground_file);
+shared_config::Rules read_baseline(const options::SharedConfigOptions& options) {
+  if (options.baseline_path.empty()) return {};
+  std::ifstream in(options.baseline_path, std::ios::binary);
+  if (!in)
+    throw std::runtime_error(options.baseline_path + ": the file with the baseline rules can't be read");
+  return shared_config::parse_rules({std::istreambuf_iterator<char>(in), {}}, options.baseline_path);
 }
 
 }  // namespace
 
-ClusterNode::ClusterNode(event_base* base, const options::Fleet& options, const settings::Settings& settings,
-                         std::uint64_t seed)
+ClusterNode::ClusterNode(event_base* base, const options::ClusterOptions& options,
+                         const settings::Settings& settings, std::uint64_t seed)
     : options_(options),
-      membership_(membership_options(options), options.name, options.advertise, seed),
-      transport_(base, options.listen, options.name, transport::read_keys(options.key_file),
+      membership_(membership_options(options), options.name, options.advertised_address, seed),
+      transport_(base, options.listen_address, options.name, transport::read_keys(options.key_path),
                  [this](const std::string& from, std::string_view body) { handle_message(from, body); }),
       timer_(base, [this] { handle_timer(); }) {
-  for (const auto& request_class : settings::op_types(settings))
+  for (const auto& request_class : settings::request_classes(settings))
     request_classes_.push_back(request_class.name);
-  if (!options.records.empty()) event_log_ = std::make_unique<EventLog>(options.records, options.name);
+  if (!options.event_log_path.empty())
+    event_log_ = std::make_unique<EventLog>(options.event_log_path, options.name);
   for (const auto& peer : options.peers) membership_.add_configured_member(peer.name, peer.address);
-  if (options.accord) {
-    shared_config::Rules baseline = read_baseline(*options.accord);
-    if (!options.accord->folder.empty()) {
+  if (options.shared_config) {
+    shared_config::Rules baseline = read_baseline(*options.shared_config);
+    if (!options.shared_config->store_folder.empty()) {
       std::string damaged_store;
       std::uint64_t id;
       randombytes_buf(&id, sizeof id);
-      store_ = shared_config::Kept::open(options.accord->folder, id >> 1 | 1, &damaged_store);
+      store_ = shared_config::Kept::open(options.shared_config->store_folder, id >> 1 | 1, &damaged_store);
       if (!damaged_store.empty()) {
         log("accord", "the store is damaged: renamed to %s; this broker joins again with an empty store",
             damaged_store.c_str());
         if (event_log_) event_log_->record_event("set_aside").with("as", damaged_store);
       }
     }
-    config_node_ = std::make_unique<shared_config::Accord>(shared_config_terms(*options.accord), options.name,
-                                                           store_.get(), std::move(baseline), seed + 1,
-                                                           std::make_shared<maintenance::JobQueue>());
+    config_node_ = std::make_unique<shared_config::Accord>(
+        shared_config_terms(*options.shared_config), options.name, store_.get(), std::move(baseline),
+        seed + 1, std::make_shared<maintenance::JobQueue>());
     std::string text;
     std::uint64_t number = 0;
     if (store_ && store_->ground(text, number)) {
@@ -162,12 +164,12 @@
   }
   limits_.resize(request_classes_.size());
   stays_in_region_.resize(request_classes_.size());
-  warm_up_time_ = settings.span("rules.cold", 0);
+  warm_up_time_ = settings.duration("rules.cold", 0);
   cold_start_share_ = settings.number("rules.cold-from", 1);
-  ring_size_ = settings.whole("family-info.positions");
-  replicas_per_shard_ = settings.whole("family-info.width");
-  if (options.zones) set_up_zone_failover(*options.zones, settings);
-  if (options.upkeep)
+  ring_size_ = settings.integer("family-info.positions");
+  replicas_per_shard_ = settings.integer("family-info.width");
+  if (options.zone_failover) set_up_zone_failover(*options.zone_failover, settings);
+  if (options.maintenance)
     maintenance_agent_ = std::make_unique<MaintenanceAgent>(
         base, options_, settings, *config_node_, membership_, zone_failover_.get(), event_log_.get(),
         [this](const std::string& to, const std::string& bytes) {
@@ -175,20 +177,23 @@
         });
 }
 
-void ClusterNode::set_up_zone_failover(const options::Zones& options, const settings::Settings& settings) {
+void ClusterNode::set_up_zone_failover(const options::ZoneFailoverOptions& options,
+                                       const settings::Settings& settings) {
   zone_failover_ =
       std::make_unique<zone_failover::ZoneFailover>(zone_failover_options(options), options_.name);
-  const auto classes = settings::op_types(settings);
-  for (const auto& request_class : classes) required_shares_.push_back(request_class.op.required_share);
+  const auto classes = settings::request_classes(settings);
+  for (const auto& request_class : classes)
+    required_shares_.push_back(request_class.properties.required_share);
   for (std::size_t i = 0; i < classes.size(); ++i)
     stays_in_region_[i] =
-        std::count(options.stay_in_region.begin(), options.stay_in_region.end(), classes[i].name) > 0 ||
-        classes[i].op.latency_objective < kMinRoundTripsInObjective * options.region_round_trip;
+        std::count(options.region_bound_classes.begin(), options.region_bound_classes.end(),
+                   classes[i].name) > 0 ||
+        classes[i].properties.latency_objective < kMinRoundTripsInObjective * options.region_round_trip_time;
   if (!config_node_) standalone_zone_versions_ = std::make_unique<shared_config::Versions>();
   cross_zone_budget_ =
-      std::make_unique<zone_failover::CrossZoneBudget>(options.crossing_saved, classes.size());
+      std::make_unique<zone_failover::CrossZoneBudget>(options.max_saved_budget_time, classes.size());
   configured_byte_budgets_.assign(classes.size(), zone_failover::kNoBudget);
-  for (const auto& [name, bytes_per_second] : options.crossing)
+  for (const auto& [name, bytes_per_second] : options.cross_zone_bytes_per_second)
     for (std::size_t i = 0; i < classes.size(); ++i)
       if (classes[i].name == name) configured_byte_budgets_[i] = static_cast<double>(bytes_per_second);
   update_cross_zone_budgets();
@@ -199,20 +204,21 @@
 
 void ClusterNode::start() {
   started_at_ = now();
-  if (event_log_) event_log_->record_event("starts").with("address", options_.advertise);
+  if (event_log_) event_log_->record_event("starts").with("address", options_.advertised_address);
   membership_.start(started_at_);
   if (config_node_) config_node_->start(started_at_);
   process_events();
 }
 
 bool ClusterNode::is_ready() {
-  return !config_node_ || config_node_->ever_answered() || now() - started_at_ >= options_.accord->start_wait;
+  return !config_node_ || config_node_->ever_answered() ||
+         now() - started_at_ >= options_.shared_config->max_start_wait;
 }
 
 void ClusterNode::reload_keys() {
   try {
-    transport_.rotate_keys(transport::read_keys(options_.key_file));
-    log("fleet", "key file %s read again", options_.key_file.c_str());
+    transport_.rotate_keys(transport::read_keys(options_.key_path));
+    log("fleet", "key file %s read again", options_.key_path.c_str());
   } catch (const std::exception& e) {
     log("fleet", "key file not applied, the old keys stay in use: %s", e.what());
   }
@@ -264,7 +270,7 @@
 }
 
 void ClusterNode::handle_notices(const std::string& from, const std::string& payload) {
-  if (!options_.share_lists) return;
+  if (!options_.shares_endpoint_lists) return;
   accord::wire::Lists lists;
   if (!lists.ParseFromString(payload)) return;
   gossip_.heard_of(lists.newest());
@@ -323,11 +329,11 @@
   if (is_processing_) return;
   is_processing_ = true;
   const Time at = now();
-  if (options_.share_lists && !is_list_open_) {
+  if (options_.shares_endpoint_lists && !is_list_open_) {
     if (const auto notices = gossip_.news(); !notices.empty()) send_notices(notices, "");
   }
   while (auto outgoing = membership_.take_outgoing()) {
-    if (outgoing->message.payload.empty() && options_.share_lists)
+    if (outgoing->message.payload.empty() && options_.shares_endpoint_lists)
       outgoing->message.payload = notices_digest();
     transport_.send(outgoing->to, outgoing->address,
                     kMembershipMessage + membership::encode(outgoing->message));
@@ -459,7 +465,7 @@
   const Time at = now();
   const auto report = make_due_zone_report(at);
   if (!report) return;
-  std::set<std::string> to(options_.accord->voters.begin(), options_.accord->voters.end());
+  std::set<std::string> to(options_.shared_config->voters.begin(), options_.shared_config->voters.end());
   if (const auto& leader = config_node_->leader(); !leader.empty())
     to.insert(leader);  // it may have become a voter later, and so not be in the options
   to.erase(options_.name);
@@ -638,7 +644,7 @@
 }
 
 bool ClusterNode::is_withheld(const std::string& endpoint, Time started_at) const {
-  return (options_.share_lists && gossip_.withheld(endpoint, started_at)) ||
+  return (options_.shares_endpoint_lists && gossip_.withheld(endpoint, started_at)) ||
          applied_rules_->rules->withheld.count(endpoint) != 0 ||
          applied_rules_->rules->at_work.count(endpoint) != 0;
 }
--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -29,7 +29,7 @@
 class ClusterNode : public dispatch::ClusterControl {
  public:
   // Throws std::runtime_error with a one-line message if an address, a key or the folder is not usable.
-  ClusterNode(event_base* base, const options::Fleet& options, const settings::Settings& settings,
+  ClusterNode(event_base* base, const options::ClusterOptions& options, const settings::Settings& settings,
               std::uint64_t seed);
   ~ClusterNode() override;
 
@@ -80,7 +80,7 @@
   bool stays_in_zone(int request_class) override;
 
   // For AdminApi. The pointers are null where the options configure no such part.
-  const options::Fleet& options() const { return options_; }
+  const options::ClusterOptions& options() const { return options_; }
   const membership::SwimMembership& membership() const { return membership_; }
   const shared_config::Hearsay& gossip() const { return gossip_; }
   const transport::Transport& transport() const { return transport_; }
@@ -102,7 +102,7 @@
   void send_notices(const std::vector<shared_config::Notice>& notices, const std::string& to);
   std::string notices_digest() const;
   void send_to(const std::string& to, const std::string& bytes);
-  void set_up_zone_failover(const options::Zones& options, const settings::Settings& settings);
+  void set_up_zone_failover(const options::ZoneFailoverOptions& options, const settings::Settings& settings);
   void save_baseline();
   void record_lease();
   void check_list_lag();
@@ -114,7 +114,7 @@
   int accounted_zone(int zone) const;
   void count_endpoints();
 
-  options::Fleet options_;
+  options::ClusterOptions options_;
   std::vector<std::string> request_classes_;
   std::unique_ptr<EventLog> event_log_;
   membership::SwimMembership membership_;
--- a/src/cluster/maintenance_agent.cpp
+++ b/src/cluster/maintenance_agent.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-maintenance::MaintenanceControllerOptions controller_options(const options::Fleet& options,
+maintenance::MaintenanceControllerOptions controller_options(const options::ClusterOptions& options,
                                                              const settings::Settings& settings) {
   maintenance::MaintenanceControllerOptions result;
-  result.check_interval = options.upkeep->look;
-  result.max_clock_drift = options.accord->drift;
-  result.warm_up_time = settings.span("rules.cold", 0);
-  for (const auto& request_class : settings::op_types(settings))
-    result.max_attempt_time = std::max(result.max_attempt_time, request_class.op.request_timeout);
+  result.check_interval = options.maintenance->check_interval;
+  result.max_clock_drift = options.shared_config->max_clock_drift;
+  result.warm_up_time = settings.duration("rules.cold", 0);
+  for (const auto& request_class : settings::request_classes(settings))
+    result.max_attempt_time = std::max(result.max_attempt_time, request_class.properties.request_timeout);
   return result;
 }
 
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-MaintenanceAgent::MaintenanceAgent(event_base* base, const options::Fleet& options,
+MaintenanceAgent::MaintenanceAgent(event_base* base, const options::ClusterOptions& options,
                                    const settings::Settings& settings, shared_config::Accord& config_node,
                                    const membership::SwimMembership& membership,
                                    const zone_failover::ZoneFailover* zones, EventLog* event_log, Send send)
@@ -44,9 +44,9 @@
       event_log_(event_log),
       send_(std::move(send)),
       controller_(controller_options(options, settings), options.name),
-      ring_size_(settings.whole("family-info.positions")),
-      replicas_per_shard_(settings.whole("family-info.width")),
-      warm_up_time_(settings.span("rules.cold", 0)),
+      ring_size_(settings.integer("family-info.positions")),
+      replicas_per_shard_(settings.integer("family-info.width")),
+      warm_up_time_(settings.duration("rules.cold", 0)),
       stop_timer_(base, [this] {
         if (stop_) stop_();
       }) {}
@@ -59,14 +59,16 @@
 maintenance::FleetStatus MaintenanceAgent::fleet_status(Time now,
                                                         const std::map<std::string, ListedEndpoint>& listed,
                                                         std::uint64_t revision) const {
-  const auto& limits = *options_.upkeep;
+  const auto& limits = *options_.maintenance;
   maintenance::FleetStatus status;
   status.revision = revision;
   status.ring_size = ring_size_;
   status.replicas_per_shard = replicas_per_shard_;
-  status.limits = {limits.holders_least, limits.at_once,     limits.a_rack,   limits.a_zone,
-                   limits.a_region,      limits.zone_keep,   limits.headroom, limits.lost_after,
-                   limits.around,        limits.stop_on_loss};
+  status.limits = {limits.min_warm_replicas,       limits.max_machines,
+                   limits.max_machines_per_rack,   limits.max_machines_per_zone,
+                   limits.max_machines_per_region, limits.min_in_service_zone_share,
+                   limits.headroom_share,          limits.lost_machine_timeout,
+                   limits.transition_time,         limits.stops_on_loss};
   for (const auto& [name, endpoint] : listed) {
     if (status.endpoints.size() >= maintenance::JobQueue::kMaxEndpoints ||
         endpoint.ring_position >= ring_size_)
@@ -153,7 +155,7 @@
   if (event_log_) event_log_->record_event("stands_down").with("work", job);
   if (hooks.set_not_ready) hooks.set_not_ready();
   stop_ = hooks.stop;
-  stop_timer_.start(options_.upkeep ? options_.upkeep->notice : 0);
+  stop_timer_.start(options_.maintenance ? options_.maintenance->leave_notice : 0);
 }
 
 void MaintenanceAgent::record_job_changes() {
--- a/src/cluster/maintenance_agent.h
+++ b/src/cluster/maintenance_agent.h
@@ -47,9 +47,10 @@
   using Send = std::function<void(const std::string& to, const std::string& bytes)>;
   // @param zones      null: zones are not configured
   // @param event_log  null: no events are recorded
-  MaintenanceAgent(event_base* base, const options::Fleet& options, const settings::Settings& settings,
-                   shared_config::Accord& config_node, const membership::SwimMembership& membership,
-                   const zone_failover::ZoneFailover* zones, EventLog* event_log, Send send);
+  MaintenanceAgent(event_base* base, const options::ClusterOptions& options,
+                   const settings::Settings& settings, shared_config::Accord& config_node,
+                   const membership::SwimMembership& membership, const zone_failover::ZoneFailover* zones,
+                   EventLog* event_log, Send send);
 
   Time next_check_at() const { return controller_.next_check_at(); }
   // Sends the report of open attempts and, at the leader, proposes the next entry. Does nothing before the
@@ -73,7 +74,7 @@
                                         std::uint64_t revision) const;
   void stop_broker(const ProcessHooks& hooks, std::uint64_t job);
 
-  const options::Fleet& options_;
+  const options::ClusterOptions& options_;
   shared_config::Accord& config_node_;
   const membership::SwimMembership& membership_;
   const zone_failover::ZoneFailover* zone_failover_;
--- a/src/frontend/platform/request_parser.cpp
+++ b/src/frontend/platform/request_parser.cpp
@@ -37,10 +37,10 @@
 
 RequestParser::RequestParser(const settings::Settings& settings, dispatch::InFlightRequests& requests,
                              dispatch::RequestDispatcher& dispatcher)
-    : shard_count_(settings.whole("family-info.ranges")), requests_(requests), dispatcher_(dispatcher) {
-  for (int i = 0; i < settings.whole("classes.count"); ++i) {
+    : shard_count_(settings.integer("family-info.ranges")), requests_(requests), dispatcher_(dispatcher) {
+  for (int i = 0; i < settings.integer("classes.count"); ++i) {
     const std::string prefix = "classes." + std::to_string(i) + ".";
-    classes_[settings.text(prefix + "name", "")] = {i, settings.span(prefix + "deadline")};
+    classes_[settings.text(prefix + "name", "")] = {i, settings.duration(prefix + "deadline")};
   }
 }
 
--- a/src/server/broker.cpp
+++ b/src/server/broker.cpp
@@ -41,10 +41,10 @@
 backend::SendLimits send_limits(const dispatch::Config& config) {
   const auto& settings = config.settings;
   const Time idle_time =
-      static_cast<Time>(kIdleTimeShare * static_cast<double>(settings.span("ceilings.keepalive", 10)));
-  return {std::max(1, settings.whole("ceilings.multiplex", 1)),
-          std::max(1, settings.whole("family-info.parts-a-call", 1)),
-          settings.span("ceilings.connect-timeout", 1), idle_time,
+      static_cast<Time>(kIdleTimeShare * static_cast<double>(settings.duration("ceilings.keepalive", 10)));
+  return {std::max(1, settings.integer("ceilings.multiplex", 1)),
+          std::max(1, settings.integer("family-info.parts-a-call", 1)),
+          settings.duration("ceilings.connect-timeout", 1), idle_time,
           (config.max_descriptors - kReservedDescriptors) / kEndpointDescriptorDivisor};
 }
 
@@ -92,7 +92,7 @@
   std::unordered_map<EndpointId, int> attempts_in_flight;
 
   Parts(event_base* base, const dispatch::Config& initial, const BrokerOptions& options)
-      : class_count(static_cast<int>(settings::op_types(initial.settings).size())),
+      : class_count(static_cast<int>(settings::request_classes(initial.settings).size())),
         policy(initial.seed),
         requests(policy, initial.memory_bytes),
         sender(
@@ -145,14 +145,14 @@
       cluster = options.cluster_control;
       registry.set_cluster_control(*options.cluster_control);
       const Time retry_after = initial.settings.flag("ceilings.retry-after", false)
-                                   ? initial.settings.span("ceilings.max-retry-after", 0)
+                                   ? initial.settings.duration("ceilings.max-retry-after", 0)
                                    : 0;
       backends.set_byte_counter([this](const dispatch::TransferredBytes& bytes) { record_bytes(bytes); });
       dispatcher.set_cluster_control(
           *options.cluster_control,
           {[this] {
              const auto& settings = config.settings;
-             policy.set_attempts(std::min(settings.whole("ceilings.try-limit", 1), cluster->max_attempts()),
+             policy.set_attempts(std::min(settings.integer("ceilings.try-limit", 1), cluster->max_attempts()),
                                  settings.flag("ceilings.second-copies", false) && cluster->may_hedge(),
                                  settings.flag("ceilings.cancel", false));
              for (int i = 0; i < class_count; ++i) {
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -87,12 +87,12 @@
   if (it == values_.end()) complain(path, "is missing");
   return parse(path, it->second);
 }
-int Settings::whole(const std::string& path) const { return to_int(path, number(path)); }
-int Settings::whole(const std::string& path, double absent) const {
+int Settings::integer(const std::string& path) const { return to_int(path, number(path)); }
+int Settings::integer(const std::string& path, double absent) const {
   return to_int(path, number(path, absent));
 }
-Time Settings::span(const std::string& path) const { return to_time(path, number(path)); }
-Time Settings::span(const std::string& path, double absent) const {
+Time Settings::duration(const std::string& path) const { return to_time(path, number(path)); }
+Time Settings::duration(const std::string& path, double absent) const {
   return to_time(path, number(path, absent));
 }
 bool Settings::flag(const std::string& path, bool absent) const {
@@ -101,13 +101,13 @@
   if (v != "true" && v != "false") complain(path, "is neither true nor false");
   return v == "true";
 }
-double Settings::item(const std::string& path, int i, double absent) const {
+double Settings::list_item(const std::string& path, int i, double absent) const {
   if (!has(path)) return absent;
-  const auto all = names(path);
+  const auto all = list(path);
   if (i >= static_cast<int>(all.size())) complain(path, "has too few items");
   return parse(path, all[i]);
 }
-std::vector<std::string> Settings::names(const std::string& path) const {
+std::vector<std::string> Settings::list(const std::string& path) const {
   std::vector<std::string> found;
   const std::string all = text(path, "");
   for (std::size_t from = 0; from < all.size();) {
@@ -120,7 +120,7 @@
 
 namespace {
 
-RequestClass read_op_type(const Settings& s, int i) {
+RequestClass read_request_class(const Settings& s, int i) {
   const std::string at = "classes." + std::to_string(i) + ".";
   RequestClass op;
   const std::string effect = s.text(at + "effect", "free");
@@ -133,49 +133,50 @@
   } else {
     complain(at + "effect", "is not a known effect");
   }
-  op.latency_objective = s.span(at + "promise");
-  op.request_timeout = s.span(at + "deadline");
-  op.deduplication_window = s.span(at + "memory-span", 0);
+  op.latency_objective = s.duration(at + "promise");
+  op.request_timeout = s.duration(at + "deadline");
+  op.deduplication_window = s.duration(at + "memory-span", 0);
   op.importance = s.number(at + "value", 1);
   op.late_value_share = s.number(at + "late-share", 0);
-  op.required_share = s.item("family-info.need-by-class", i, 1);
-  op.min_response_share = s.item("family-info.min-share", i, op.required_share);
-  op.partial_value_share = s.item("family-info.class-partial", i, 0);
-  op.second_step_shard_requests = static_cast<int>(s.item("family-info.class-fetch", i, 0));
+  op.required_share = s.list_item("family-info.need-by-class", i, 1);
+  op.min_response_share = s.list_item("family-info.min-share", i, op.required_share);
+  op.partial_value_share = s.list_item("family-info.class-partial", i, 0);
+  op.second_step_shard_requests = static_cast<int>(s.list_item("family-info.class-fetch", i, 0));
   return op;
 }
 
 }  // namespace
 
-std::vector<NamedOpType> op_types(const Settings& s) {
-  const int count = s.whole("classes.count");
+std::vector<NamedRequestClass> request_classes(const Settings& s) {
+  const int count = s.integer("classes.count");
   if (count < 1 || count > 256) complain("classes.count", "is out of range");
-  std::vector<NamedOpType> all;
+  std::vector<NamedRequestClass> all;
   for (int i = 0; i < count; ++i)
-    all.push_back({s.text("classes." + std::to_string(i) + ".name", ""), read_op_type(s, i)});
+    all.push_back({s.text("classes." + std::to_string(i) + ".name", ""), read_request_class(s, i)});
   return all;
 }
 
 void apply(const Settings& s, RequestPolicy& policy) {
-  const int brokers = s.whole("balancers", 1);
+  const int brokers = s.integer("balancers", 1);
   if (brokers < 1) complain("balancers", "is out of range");
   policy.set_brokers(brokers);
-  for (const auto& named : op_types(s)) policy.add_request_class(named.op);
-  const int cells = s.whole("family-info.positions"), width = s.whole("family-info.width");
+  for (const auto& named : request_classes(s)) policy.add_request_class(named.properties);
+  const int cells = s.integer("family-info.positions"), width = s.integer("family-info.width");
   if (cells < 1 || cells > 65536) complain("family-info.positions", "is out of range");
   if (width < 1 || width > cells) complain("family-info.width", "is out of range");
-  policy.set_layout(cells, width, s.whole("family-info.parts-a-call", 1));
-  policy.set_attempts(s.whole("ceilings.try-limit", 1), s.flag("ceilings.second-copies", false),
+  policy.set_layout(cells, width, s.integer("family-info.parts-a-call", 1));
+  policy.set_attempts(s.integer("ceilings.try-limit", 1), s.flag("ceilings.second-copies", false),
                       s.flag("ceilings.cancel", false));
   if (s.has("rules.resend-span"))
     policy.set_retry_budget(s.number("rules.budget-free", 0), s.number("rules.extra-ratio", 0),
-                            s.span("rules.resend-span"), s.span("ceilings.connect-timeout", 0));
-  policy.set_retry_after(s.flag("ceilings.retry-after", false), s.span("ceilings.max-retry-after", 0));
+                            s.duration("rules.resend-span"), s.duration("ceilings.connect-timeout", 0));
+  policy.set_retry_after(s.flag("ceilings.retry-after", false), s.duration("ceilings.max-retry-after", 0));
   policy.set_clients_mark_retries(s.flag("callers.marks-retry", false));
-  policy.set_slow_start(s.number("rules.cold-from", 1), s.span("rules.cold", 0),
-                        s.number("rules.fall-multiple", 1), s.span("rules.overload-for", 1));
-  policy.set_discovery(s.text("registry-mode", "automatic") == "subscribe", s.span("rules.ask-every", 10));
-  policy.set_tick(s.span("tick", 0.001));
+  policy.set_slow_start(s.number("rules.cold-from", 1), s.duration("rules.cold", 0),
+                        s.number("rules.fall-multiple", 1), s.duration("rules.overload-for", 1));
+  policy.set_discovery(s.text("registry-mode", "automatic") == "subscribe",
+                       s.duration("rules.ask-every", 10));
+  policy.set_tick(s.duration("tick", 0.001));
 }
 
 }  // namespace cairnhub::settings
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -27,24 +27,24 @@
   std::string text(const std::string& path, const char* absent) const;
   double number(const std::string& path) const;  // needed
   double number(const std::string& path, double absent) const { return has(path) ? number(path) : absent; }
-  int whole(const std::string& path) const;
-  int whole(const std::string& path, double absent) const;
-  Time span(const std::string& path) const;  // seconds as stated, nanoseconds from here on
-  Time span(const std::string& path, double absent) const;
+  int integer(const std::string& path) const;
+  int integer(const std::string& path, double absent) const;
+  Time duration(const std::string& path) const;  // seconds as stated, nanoseconds from here on
+  Time duration(const std::string& path, double absent) const;
   bool flag(const std::string& path, bool absent) const;
-  double item(const std::string& path, int i, double absent) const;  // the i-th of a comma-joined list
-  std::vector<std::string> names(const std::string& path) const;     // all of a comma-joined list
+  double list_item(const std::string& path, int i, double absent) const;  // the i-th of a comma-joined list
+  std::vector<std::string> list(const std::string& path) const;           // all of a comma-joined list
 
  private:
   void add(const std::string& path, const nlohmann::json& value);
   std::map<std::string, std::string> values_;
 };
 
-struct NamedOpType {
+struct NamedRequestClass {
   std::string name;
-  RequestClass op;
+  RequestClass properties;
 };
-std::vector<NamedOpType> op_types(const Settings& s);  // in the order of their numbers
+std::vector<NamedRequestClass> request_classes(const Settings& s);  // in the order of their numbers
 
 // Tells the policy, setting by setting. Unknown paths are skipped.
 void apply(const Settings& s, RequestPolicy& policy);
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -19,9 +19,9 @@
     buffer.resize(have + step);
     const ssize_t got = ::read(STDIN_FILENO, buffer.data() + have, step);
     if (got < 0 && errno != EINTR)
-      throw cairnhub::simulator_adapter::WireError("standard input can't be read");
+      throw cairnhub::simulator_adapter::FrameError("standard input can't be read");
     if (got == 0 && have == 0) return false;
-    if (got == 0) throw cairnhub::simulator_adapter::WireError("malformed batch: input ends inside a frame");
+    if (got == 0) throw cairnhub::simulator_adapter::FrameError("malformed batch: input ends inside a frame");
     have += got > 0 ? static_cast<std::size_t>(got) : 0;
     buffer.resize(have);
   }
@@ -32,13 +32,13 @@
 
 int main() {
   try {
-    cairnhub::simulator_adapter::Host host;
+    cairnhub::simulator_adapter::SimulatorHost host;
     std::string frame;
-    while (frame.clear(), fill(frame, cairnhub::simulator_adapter::kBatchHeader)) {
-      fill(frame, cairnhub::simulator_adapter::batch_length(frame));
-      const std::string reply = host.turn(frame);
+    while (frame.clear(), fill(frame, cairnhub::simulator_adapter::kBatchHeaderBytes)) {
+      fill(frame, cairnhub::simulator_adapter::batch_frame_length(frame));
+      const std::string reply = host.process_batch(frame);
       if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0)
-        throw cairnhub::simulator_adapter::WireError("standard output can't be written");
+        throw cairnhub::simulator_adapter::FrameError("standard output can't be written");
     }
   } catch (const std::exception& e) {
     std::fprintf(stderr, "cairnhub_wirehost: %s\n", e.what());
--- a/src/simulator_adapter/simulator_host.cpp
+++ b/src/simulator_adapter/simulator_host.cpp
@@ -55,34 +55,34 @@
     case 80:
       return AttemptOutcome::kNotSent;
   }
-  throw WireError("malformed event: result is not a known outcome code");
+  throw FrameError("malformed event: result is not a known outcome code");
 }
 
 EndpointState node_state(std::uint8_t code) {
-  if (code > 2) throw WireError("malformed entry: lifecycle is not a known state");
+  if (code > 2) throw FrameError("malformed entry: lifecycle is not a known state");
   return code == 1 ? EndpointState::kReady : code == 2 ? EndpointState::kDraining : EndpointState::kRemoved;
 }
 
 }  // namespace
 
-std::string Host::turn(std::string_view frame) {
-  const Batch batch(frame);
-  Reply reply;
+std::string SimulatorHost::process_batch(std::string_view frame) {
+  const BatchFrame batch(frame);
+  ReplyFrame reply;
   std::vector<std::uint32_t> touched;  // in the order first named
   Instance* inst = nullptr;
   ++batches_;
-  for (std::size_t i = 0; i < batch.records(); ++i) {
-    const Bytes r = batch.record(i);
+  for (std::size_t i = 0; i < batch.record_count(); ++i) {
+    const ByteReader r = batch.record(i);
     const std::uint8_t code = r.u8(0, "code");
     if (code == kDirectory) {
-      directories_[r.u32(1, "sheet")] = batch.tail(r, 5, kEntry, "members");
+      directories_[r.u32(1, "sheet")] = batch.tail(r, 5, kEntryBytes, "members");
     } else if (code == kAbout) {
       const std::uint32_t number = r.u32(1, "broker");
       inst = &instances_[number];
       if (inst->last_batch != batches_) touched.push_back(number);
       inst->last_batch = batches_;
     } else if (!inst) {
-      throw WireError("malformed event: code comes before any About");
+      throw FrameError("malformed event: code comes before any About");
     } else {
       event(batch, r, code, *inst);
     }
@@ -102,18 +102,18 @@
   return reply.finish();
 }
 
-void Host::event(const Batch& batch, const Bytes& r, std::uint8_t code, Instance& inst) {
+void SimulatorHost::event(const BatchFrame& batch, const ByteReader& r, std::uint8_t code, Instance& inst) {
   const Time now = batch.now();
   if (code == kInit) {
     inst.policy = std::make_unique<RequestPolicy>(r.u64(1, "nonce64"));
     const auto stated = settings::Settings::from_lines(batch.tail(r, 9, 1, "options"));
     settings::apply(stated, *inst.policy);
-    inst.report_fields = stated.names("load-info.fields");
+    inst.report_fields = stated.list("load-info.fields");
     inst.policy->start();
     return;
   }
-  if (code > kAbout) throw WireError("malformed event: code is unknown");
-  if (!inst.policy) throw WireError("malformed event: broker has not been started");
+  if (code > kAbout) throw FrameError("malformed event: code is unknown");
+  if (!inst.policy) throw FrameError("malformed event: broker has not been started");
   RequestPolicy& d = *inst.policy;
   switch (code) {
     case kMembership:
@@ -122,8 +122,8 @@
     case kArrival: {
       const RequestId id = r.u32(1, "txn");
       const float number = r.f32(9, "ask-no"), amount = r.f32(30, "heft"), shard = r.f32(34, "segment-no");
-      if (std::abs(amount) > 1e6f) throw WireError("malformed event: heft is out of range");
-      if (shard > 1e6f) throw WireError("malformed event: segment-no is out of range");
+      if (std::abs(amount) > 1e6f) throw FrameError("malformed event: heft is out of range");
+      if (shard > 1e6f) throw FrameError("malformed event: segment-no is out of range");
       const std::uint16_t flags = r.u16(7, "opts");
       if (shard < 0) {
         d.request_arrived(now, id, r.u8(21, "tier-class"), number, (flags & 2) != 0,
@@ -153,24 +153,24 @@
   }
 }
 
-void Host::list(const Batch& batch, const Bytes& r, RequestPolicy& d) {
+void SimulatorHost::list(const BatchFrame& batch, const ByteReader& r, RequestPolicy& d) {
   const std::uint8_t how = r.u8(5, "how");
-  if (how > 3) throw WireError("malformed event: how is not a known list kind");
+  if (how > 3) throw FrameError("malformed event: how is not a known list kind");
   if (how == 1) return d.list_failed(batch.now());
   const auto it = directories_.find(r.u32(6, "sheet"));
-  if (it == directories_.end()) throw WireError("malformed event: sheet names no Directory");
+  if (it == directories_.end()) throw FrameError("malformed event: sheet names no Directory");
   d.list_begins(batch.now(), how != 2);
-  for (std::size_t at = 0; at < it->second.size(); at += kEntry) {
-    const Bytes e(std::string_view(it->second).substr(at, kEntry), "entry");
-    d.list_endpoint(e.node(0, "node"), node_state(e.u8(6, "lifecycle")), e.time(7, "boot-time"),
+  for (std::size_t at = 0; at < it->second.size(); at += kEntryBytes) {
+    const ByteReader e(std::string_view(it->second).substr(at, kEntryBytes), "entry");
+    d.list_endpoint(e.endpoint(0, "node"), node_state(e.u8(6, "lifecycle")), e.time(7, "boot-time"),
                     e.u16(20, "position"));
   }
   d.list_ends();
 }
 
-LoadReport Host::report(const Bytes& r, std::size_t at, const Instance& inst) const {
+LoadReport SimulatorHost::report(const ByteReader& r, std::size_t at, const Instance& inst) const {
   const std::size_t n = r.u8(at, "report");
-  if (n > 4) throw WireError("malformed event: report has more than four values");
+  if (n > 4) throw FrameError("malformed event: report has more than four values");
   LoadReport out;
   for (std::size_t i = 0; i < std::min(n, inst.report_fields.size()); ++i) {
     const float value = r.f32(at + 1 + 4 * i, "report");
@@ -182,12 +182,12 @@
   return out;
 }
 
-void Host::act(const PolicyAction& d, Reply& reply) {
+void SimulatorHost::act(const PolicyAction& d, ReplyFrame& reply) {
   switch (d.kind) {
     case PolicyAction::Kind::kSendAttempt:
       reply.begin(kForward);
       reply.put(1, d.request);
-      reply.put_node(5, d.endpoint);
+      reply.put_endpoint(5, d.endpoint);
       reply.put(11, seconds(d.duration));
       break;
     case PolicyAction::Kind::kCancelAttempt:
@@ -211,7 +211,7 @@
       break;
     case PolicyAction::Kind::kProbe:
       reply.begin(kSoundOut);
-      reply.put_node(1, d.endpoint);
+      reply.put_endpoint(1, d.endpoint);
       break;
     case PolicyAction::Kind::kSubscribe:
       reply.begin(kStreamChanges);
--- a/src/simulator_adapter/simulator_host.h
+++ b/src/simulator_adapter/simulator_host.h
@@ -11,10 +11,10 @@
 
 namespace cairnhub::simulator_adapter {
 
-class Host {
+class SimulatorHost {
  public:
-  // Takes one whole batch frame and returns the reply frame. Throws WireError on a malformed batch.
-  std::string turn(std::string_view frame);
+  // Takes one whole batch frame and returns the reply frame. Throws FrameError on a malformed batch.
+  std::string process_batch(std::string_view frame);
 
  private:
   struct Instance {
@@ -23,10 +23,10 @@
     std::size_t last_batch = 0;
   };
 
-  void event(const Batch& batch, const Bytes& r, std::uint8_t code, Instance& inst);
-  void list(const Batch& batch, const Bytes& r, RequestPolicy& d);
-  LoadReport report(const Bytes& r, std::size_t at, const Instance& inst) const;
-  static void act(const PolicyAction& d, Reply& reply);
+  void event(const BatchFrame& batch, const ByteReader& r, std::uint8_t code, Instance& inst);
+  void list(const BatchFrame& batch, const ByteReader& r, RequestPolicy& d);
+  LoadReport report(const ByteReader& r, std::size_t at, const Instance& inst) const;
+  static void act(const PolicyAction& d, ReplyFrame& reply);
 
   std::map<std::uint32_t, Instance> instances_;
   std::map<std::uint32_t, std::string> directories_;  // numbered node lists, as last sent
--- a/tests/frames.cpp
+++ b/tests/frames.cpp
@@ -44,9 +44,9 @@
          records + tail;
 }
 
-void show(const char* what, simulator_adapter::Host& host, const std::string& frame) {
+void show(const char* what, simulator_adapter::SimulatorHost& host, const std::string& frame) {
   try {
-    std::printf("%s: %s\n", what, hex(host.turn(frame)).c_str());
+    std::printf("%s: %s\n", what, hex(host.process_batch(frame)).c_str());
   } catch (const std::exception& e) {
     std::printf("%s: %s\n", what, e.what());
   }
@@ -73,14 +73,14 @@
 void settings(const char* what, const std::string& from, const std::string& to) {
   std::string text = kSettings;
   text.replace(text.find(from), from.size(), to);
-  simulator_adapter::Host host;
+  simulator_adapter::SimulatorHost host;
   show(what, host, init(text));
 }
 
 }  // namespace
 
 int main() {
-  simulator_adapter::Host host;
+  simulator_adapter::SimulatorHost host;
   show("empty batch", host, batch(""));
   show("start", host, init(kSettings));
   // The page's arrival holds weight 0.125 and shard 0: a part whose multiget is unknown is skipped.
