--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -3,36 +3,47 @@
 #include <algorithm>
 #include <charconv>
 #include <cmath>
+#include <cstdio>
 #include <nlohmann/json.hpp>
 
 namespace cairnhub::settings {
 
 namespace {
 
-[[noreturn]] void complain(const std::string& path, const char* trouble) {
-  throw SettingError("setting " + path + " " + trouble);
+constexpr double kMaxInteger = 1e9;  // fits into an int
+constexpr double kMaxSeconds = 4e9;  // fits into the nanoseconds of a Time
+constexpr int kMaxRequestClasses = 256;
+constexpr int kMaxRingPositions = 65536;
+
+[[noreturn]] void fail(const std::string& path, const std::string& problem) {
+  throw SettingError("setting " + path + " " + problem);
+}
+[[noreturn]] void fail_out_of_range(const std::string& path, double value, double min, double max) {
+  char problem[100];
+  std::snprintf(problem, sizeof problem, "is %g; allowed is %g to %g", value, min, max);
+  fail(path, problem);
 }
 
-double parse(const std::string& path, std::string_view v) {
-  double out = 0;
-  const auto [end, error] = std::from_chars(v.data(), v.data() + v.size(), out);
-  if (error != std::errc{} || end != v.data() + v.size() || !std::isfinite(out))
-    complain(path, "is not a number");
-  return out;
+double to_number(const std::string& path, std::string_view text) {
+  double number = 0;
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
+  if (error != std::errc{} || end != text.data() + text.size() || !std::isfinite(number))
+    fail(path, "is '" + std::string(text) + "'; allowed is a finite number");
+  return number;
 }
-int to_int(const std::string& path, double v) {
-  if (std::abs(v) > 1e9) complain(path, "is out of range");
-  return static_cast<int>(v);
+int to_integer(const std::string& path, double number) {
+  if (std::abs(number) > kMaxInteger) fail_out_of_range(path, number, -kMaxInteger, kMaxInteger);
+  return static_cast<int>(number);
 }
-Time to_time(const std::string& path, double v) {
-  if (std::abs(v) > 4e9) complain(path, "is out of range");
-  return static_cast<Time>(std::llround(v * kSecond));
+Time to_time(const std::string& path, double seconds) {
+  if (std::abs(seconds) > kMaxSeconds) fail_out_of_range(path, seconds, -kMaxSeconds, kMaxSeconds);
+  return static_cast<Time>(std::llround(seconds * kSecond));
 }
 
-// A value as the lines hold it: in one word, without commas.
-std::string plain(const nlohmann::json& v) {
-  if (!v.is_string()) return v.dump();
-  std::string text = v.get<std::string>();
+// Returns a plain JSON value as a path=value line would hold it: spaces and commas become underscores.
+std::string line_value(const nlohmann::json& value) {
+  if (!value.is_string()) return value.dump();
+  std::string text = value.get<std::string>();
   std::replace_if(
       text.begin(), text.end(), [](char c) { return c == ' ' || c == ','; }, '_');
   return text;
@@ -41,23 +52,24 @@
 }  // namespace
 
 Settings Settings::from_lines(std::string_view text) {
-  Settings s;
+  Settings settings;
   while (!text.empty()) {
     const auto end = text.find('\n');
     const std::string_view line = text.substr(0, end);
-    const auto eq = line.find('=');
-    if (eq != std::string_view::npos) s.values_[std::string(line.substr(0, eq))] = line.substr(eq + 1);
+    const auto equals = line.find('=');
+    if (equals != std::string_view::npos)
+      settings.values_[std::string(line.substr(0, equals))] = line.substr(equals + 1);
     if (end == std::string_view::npos) break;
     text.remove_prefix(end + 1);
   }
-  return s;
+  return settings;
 }
 
 Settings Settings::from_json(const nlohmann::json& nested) {
-  Settings s;
+  Settings settings;
   if (!nested.is_object()) throw SettingError("settings are not an object");
-  s.add("", nested);
-  return s;
+  settings.add("", nested);
+  return settings;
 }
 
 void Settings::add(const std::string& path, const nlohmann::json& value) {
@@ -68,115 +80,128 @@
     for (std::size_t i = 0; i < value.size(); ++i) add(path + "." + std::to_string(i), value[i]);
   } else if (value.is_array()) {
     std::string joined;
-    for (const auto& v : value) {
+    for (const auto& item : value) {
       if (!joined.empty()) joined += ',';
-      joined += plain(v);
+      joined += line_value(item);
     }
     values_[path] = joined;
   } else if (!value.is_null()) {
-    values_[path] = plain(value);
+    values_[path] = line_value(value);
   }
 }
 
-std::string Settings::text(const std::string& path, const char* absent) const {
+std::string Settings::text(const std::string& path, const char* fallback) const {
   const auto it = values_.find(path);
-  return it == values_.end() ? absent : it->second;
+  return it == values_.end() ? fallback : it->second;
 }
 double Settings::number(const std::string& path) const {
   const auto it = values_.find(path);
-  if (it == values_.end()) complain(path, "is missing");
-  return parse(path, it->second);
+  if (it == values_.end()) fail(path, "is missing");
+  return to_number(path, it->second);
 }
-int Settings::integer(const std::string& path) const { return to_int(path, number(path)); }
-int Settings::integer(const std::string& path, double absent) const {
-  return to_int(path, number(path, absent));
+int Settings::integer(const std::string& path) const { return to_integer(path, number(path)); }
+int Settings::integer(const std::string& path, double fallback) const {
+  return to_integer(path, number(path, fallback));
 }
 Time Settings::duration(const std::string& path) const { return to_time(path, number(path)); }
-Time Settings::duration(const std::string& path, double absent) const {
-  return to_time(path, number(path, absent));
-}
-bool Settings::flag(const std::string& path, bool absent) const {
-  if (!has(path)) return absent;
-  const std::string v = text(path, "");
-  if (v != "true" && v != "false") complain(path, "is neither true nor false");
-  return v == "true";
-}
-double Settings::list_item(const std::string& path, int i, double absent) const {
-  if (!has(path)) return absent;
-  const auto all = list(path);
-  if (i >= static_cast<int>(all.size())) complain(path, "has too few items");
-  return parse(path, all[i]);
+Time Settings::duration(const std::string& path, double fallback) const {
+  return to_time(path, number(path, fallback));
+}
+bool Settings::flag(const std::string& path, bool fallback) const {
+  if (!has(path)) return fallback;
+  const std::string value = text(path, "");
+  if (value != "true" && value != "false") fail(path, "is '" + value + "'; allowed is true or false");
+  return value == "true";
+}
+double Settings::list_item(const std::string& path, int index, double fallback) const {
+  if (!has(path)) return fallback;
+  const auto items = list(path);
+  if (index >= static_cast<int>(items.size()))
+    fail(path, "has " + std::to_string(items.size()) + " items; at least " + std::to_string(index + 1) +
+                   " are required");
+  return to_number(path, items[index]);
 }
 std::vector<std::string> Settings::list(const std::string& path) const {
-  std::vector<std::string> found;
-  const std::string all = text(path, "");
-  for (std::size_t from = 0; from < all.size();) {
-    const auto comma = std::min(all.find(',', from), all.size());
-    found.push_back(all.substr(from, comma - from));
-    from = comma + 1;
+  std::vector<std::string> items;
+  const std::string joined = text(path, "");
+  for (std::size_t begin = 0; begin < joined.size();) {
+    const auto comma = std::min(joined.find(',', begin), joined.size());
+    items.push_back(joined.substr(begin, comma - begin));
+    begin = comma + 1;
   }
-  return found;
+  return items;
 }
 
 namespace {
 
-RequestClass read_request_class(const Settings& s, int i) {
-  const std::string at = "classes." + std::to_string(i) + ".";
-  RequestClass op;
-  const std::string effect = s.text(at + "effect", "free");
+RequestClass read_request_class(const Settings& settings, int index) {
+  const std::string prefix = "classes." + std::to_string(index) + ".";
+  RequestClass request_class;
+  const std::string effect = settings.text(prefix + "effect", "free");
   if (effect == "free") {
-    op.idempotency = Idempotency::kIdempotent;
+    request_class.idempotency = Idempotency::kIdempotent;
   } else if (effect == "guarded") {
-    op.idempotency = Idempotency::kDeduplicated;
+    request_class.idempotency = Idempotency::kDeduplicated;
   } else if (effect == "single_shot") {
-    op.idempotency = Idempotency::kAtMostOnce;
+    request_class.idempotency = Idempotency::kAtMostOnce;
   } else {
-    complain(at + "effect", "is not a known effect");
+    fail(prefix + "effect", "is '" + effect + "'; allowed is free, guarded or single_shot");
   }
-  op.latency_objective = s.duration(at + "promise");
-  op.request_timeout = s.duration(at + "deadline");
-  op.deduplication_window = s.duration(at + "memory-span", 0);
-  op.importance = s.number(at + "value", 1);
-  op.late_value_share = s.number(at + "late-share", 0);
-  op.required_share = s.list_item("family-info.need-by-class", i, 1);
-  op.min_response_share = s.list_item("family-info.min-share", i, op.required_share);
-  op.partial_value_share = s.list_item("family-info.class-partial", i, 0);
-  op.second_step_shard_requests = static_cast<int>(s.list_item("family-info.class-fetch", i, 0));
-  return op;
+  request_class.latency_objective = settings.duration(prefix + "promise");
+  request_class.request_timeout = settings.duration(prefix + "deadline");
+  request_class.deduplication_window = settings.duration(prefix + "memory-span", 0);
+  request_class.importance = settings.number(prefix + "value", 1);
+  request_class.late_value_share = settings.number(prefix + "late-share", 0);
+  request_class.required_share = settings.list_item("family-info.need-by-class", index, 1);
+  request_class.min_response_share =
+      settings.list_item("family-info.min-share", index, request_class.required_share);
+  request_class.partial_value_share = settings.list_item("family-info.class-partial", index, 0);
+  request_class.second_step_shard_requests =
+      static_cast<int>(settings.list_item("family-info.class-fetch", index, 0));
+  return request_class;
 }
 
 }  // namespace
 
-std::vector<NamedRequestClass> request_classes(const Settings& s) {
-  const int count = s.integer("classes.count");
-  if (count < 1 || count > 256) complain("classes.count", "is out of range");
-  std::vector<NamedRequestClass> all;
+std::vector<NamedRequestClass> request_classes(const Settings& settings) {
+  const int count = settings.integer("classes.count");
+  if (count < 1 || count > kMaxRequestClasses)
+    fail_out_of_range("classes.count", count, 1, kMaxRequestClasses);
+  std::vector<NamedRequestClass> classes;
   for (int i = 0; i < count; ++i)
-    all.push_back({s.text("classes." + std::to_string(i) + ".name", ""), read_request_class(s, i)});
-  return all;
+    classes.push_back(
+        {settings.text("classes." + std::to_string(i) + ".name", ""), read_request_class(settings, i)});
+  return classes;
 }
 
-void apply(const Settings& s, RequestPolicy& policy) {
-  const int brokers = s.integer("balancers", 1);
-  if (brokers < 1) complain("balancers", "is out of range");
+void apply(const Settings& settings, RequestPolicy& policy) {
+  const int brokers = settings.integer("balancers", 1);
+  if (brokers < 1) fail("balancers", "is " + std::to_string(brokers) + "; at least 1 is required");
   policy.set_brokers(brokers);
-  for (const auto& named : request_classes(s)) policy.add_request_class(named.properties);
-  const int cells = s.integer("family-info.positions"), width = s.integer("family-info.width");
-  if (cells < 1 || cells > 65536) complain("family-info.positions", "is out of range");
-  if (width < 1 || width > cells) complain("family-info.width", "is out of range");
-  policy.set_layout(cells, width, s.integer("family-info.parts-a-call", 1));
-  policy.set_attempts(s.integer("ceilings.try-limit", 1), s.flag("ceilings.second-copies", false),
-                      s.flag("ceilings.cancel", false));
-  if (s.has("rules.resend-span"))
-    policy.set_retry_budget(s.number("rules.budget-free", 0), s.number("rules.extra-ratio", 0),
-                            s.duration("rules.resend-span"), s.duration("ceilings.connect-timeout", 0));
-  policy.set_retry_after(s.flag("ceilings.retry-after", false), s.duration("ceilings.max-retry-after", 0));
-  policy.set_clients_mark_retries(s.flag("callers.marks-retry", false));
-  policy.set_slow_start(s.number("rules.cold-from", 1), s.duration("rules.cold", 0),
-                        s.number("rules.fall-multiple", 1), s.duration("rules.overload-for", 1));
-  policy.set_discovery(s.text("registry-mode", "automatic") == "subscribe",
-                       s.duration("rules.ask-every", 10));
-  policy.set_tick(s.duration("tick", 0.001));
+  for (const auto& named : request_classes(settings)) policy.add_request_class(named.properties);
+  const int ring_positions = settings.integer("family-info.positions");
+  const int replicas = settings.integer("family-info.width");
+  if (ring_positions < 1 || ring_positions > kMaxRingPositions)
+    fail_out_of_range("family-info.positions", ring_positions, 1, kMaxRingPositions);
+  if (replicas < 1 || replicas > ring_positions)
+    fail_out_of_range("family-info.width", replicas, 1, ring_positions);
+  policy.set_layout(ring_positions, replicas, settings.integer("family-info.parts-a-call", 1));
+  policy.set_attempts(settings.integer("ceilings.try-limit", 1),
+                      settings.flag("ceilings.second-copies", false),
+                      settings.flag("ceilings.cancel", false));
+  if (settings.has("rules.resend-span"))
+    policy.set_retry_budget(settings.number("rules.budget-free", 0), settings.number("rules.extra-ratio", 0),
+                            settings.duration("rules.resend-span"),
+                            settings.duration("ceilings.connect-timeout", 0));
+  policy.set_retry_after(settings.flag("ceilings.retry-after", false),
+                         settings.duration("ceilings.max-retry-after", 0));
+  policy.set_clients_mark_retries(settings.flag("callers.marks-retry", false));
+  policy.set_slow_start(settings.number("rules.cold-from", 1), settings.duration("rules.cold", 0),
+                        settings.number("rules.fall-multiple", 1),
+                        settings.duration("rules.overload-for", 1));
+  policy.set_discovery(settings.text("registry-mode", "automatic") == "subscribe",
+                       settings.duration("rules.ask-every", 10));
+  policy.set_tick(settings.duration("tick", 0.001));
 }
 
 }  // namespace cairnhub::settings
--- a/src/simulator_adapter/frame_codec.h
+++ b/src/simulator_adapter/frame_codec.h
@@ -1,4 +1,5 @@
-// Frames of the simulator's wire: bounds-checked reading of batches, writing of replies. No meaning here.
+// Reads batch frames of the simulator's protocol with bounds checks, and writes reply frames. SimulatorHost
+// interprets the records.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -11,69 +12,89 @@
 
 namespace cairnhub::simulator_adapter {
 
-// What is malformed, named in one plain line.
+// The message names the part of the frame and the field that is malformed.
 struct FrameError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-constexpr std::size_t kBatchHeaderBytes = 16, kReplyHeaderBytes = 8, kEventBytes = 48, kActionBytes = 24,
-                      kEntryBytes = 24;
+constexpr std::size_t kBatchHeaderBytes = 16;
+constexpr std::size_t kReplyHeaderBytes = 8;
+constexpr std::size_t kEventBytes = 48;
+constexpr std::size_t kActionBytes = 24;
+constexpr std::size_t kEntryBytes = 24;
 
-// A span of bytes whose every read is checked; `what` names it in complaints.
+// Reads little-endian fields out of bytes. Every read is bounds-checked and throws FrameError, naming the
+// field.
 class ByteReader {
  public:
-  ByteReader(std::string_view data, const char* what) : data_(data), what_(what) {}
-  std::uint8_t u8(std::size_t at, const char* field) const { return number<std::uint8_t>(at, field); }
-  std::uint16_t u16(std::size_t at, const char* field) const { return number<std::uint16_t>(at, field); }
-  std::uint32_t u32(std::size_t at, const char* field) const { return number<std::uint32_t>(at, field); }
-  std::uint64_t u64(std::size_t at, const char* field) const { return number<std::uint64_t>(at, field); }
-  float f32(std::size_t at, const char* field) const;   // finite
-  double f64(std::size_t at, const char* field) const;  // finite
-  Time time(std::size_t at, const char* field) const;   // seconds on the wire, nanoseconds from here on
-  std::uint64_t endpoint(std::size_t at, const char* field) const;  // four bytes of address and a port
-  std::string_view slice(std::size_t at, std::size_t length, const char* field) const;
+  // @param name what the bytes are, for error messages; not copied
+  ByteReader(std::string_view data, const char* name) : data_(data), name_(name) {}
+  std::uint8_t u8(std::size_t offset, const char* field) const { return number<std::uint8_t>(offset, field); }
+  std::uint16_t u16(std::size_t offset, const char* field) const {
+    return number<std::uint16_t>(offset, field);
+  }
+  std::uint32_t u32(std::size_t offset, const char* field) const {
+    return number<std::uint32_t>(offset, field);
+  }
+  std::uint64_t u64(std::size_t offset, const char* field) const {
+    return number<std::uint64_t>(offset, field);
+  }
+  // Floating-point fields must be finite.
+  float f32(std::size_t offset, const char* field) const;
+  double f64(std::size_t offset, const char* field) const;
+  // Reads a double in seconds.
+  Time time(std::size_t offset, const char* field) const;
+  // Reads four bytes of address and two of port into one id.
+  std::uint64_t endpoint(std::size_t offset, const char* field) const;
+  std::string_view slice(std::size_t offset, std::size_t length, const char* field) const;
 
  private:
   template <class T>
-  T number(std::size_t at, const char* field) const;
+  T number(std::size_t offset, const char* field) const;
   std::string_view data_;
-  const char* what_;
+  const char* name_;
 };
 
-// One batch. Records are handed out in order; the tail is reached through offset and length.
+// One batch of events: a header, records of fixed size, and a tail with the data of variable size.
 class BatchFrame {
  public:
+  // @throws FrameError where the header is malformed or contradicts the size of the frame
   explicit BatchFrame(std::string_view frame);
   Time now() const { return now_; }
-  std::size_t record_count() const { return records_; }
-  ByteReader record(std::size_t i) const;
-  // ByteReader at the (offset, length) pair that stands at `at` in the record, `size` bytes for each unit of
-  // length.
-  std::string_view tail(const ByteReader& record, std::size_t at, std::size_t size, const char* field) const;
+  std::size_t record_count() const { return record_count_; }
+  ByteReader record(std::size_t index) const;
+  // Returns bytes of the tail. The record holds their offset in bytes at `offset`, and after it their length
+  // in units of `unit_bytes`.
+  std::string_view tail(const ByteReader& record, std::size_t offset, std::size_t unit_bytes,
+                        const char* field) const;
 
  private:
   std::string_view frame_;
-  std::size_t records_;
+  std::size_t record_count_;
   Time now_;
 };
 
-// The length a batch header states; throws when it can't be one.
+// Returns the frame length in bytes that a batch header states.
+// @throws FrameError where the length is shorter than the header
 std::size_t batch_frame_length(std::string_view header);
 
 // Collects action records and their tail.
 class ReplyFrame {
  public:
-  // Starts a record and returns it for put() calls.
+  // Starts a record. The put functions fill it until the next begin().
   void begin(std::uint8_t code);
   template <class T>
-  void put(std::size_t at, T value);
-  void put_endpoint(std::size_t at, std::uint64_t node);
-  void put_text(std::size_t at, std::string_view text);
+  void put(std::size_t offset, T value);
+  void put_endpoint(std::size_t offset, std::uint64_t endpoint);
+  // Appends the text to the tail, and writes its offset and length into the record.
+  void put_text(std::size_t offset, std::string_view text);
+  // Returns the whole frame.
   std::string finish() const;
 
  private:
-  std::string records_, tail_;
-  std::size_t count_ = 0;
+  std::string records_;
+  std::string tail_;
+  std::size_t record_count_ = 0;
 };
 
 }  // namespace cairnhub::simulator_adapter
--- a/src/simulator_adapter/simulator_host.h
+++ b/src/simulator_adapter/simulator_host.h
@@ -1,4 +1,5 @@
-// Translates between frames and policies, one policy an instance. Chooses nothing.
+// Runs one policy per simulated broker: passes the events of a batch to the policies and writes their actions
+// into the reply. Every decision is made in the policies.
 #pragma once
 #include <map>
 #include <memory>
@@ -11,26 +12,31 @@
 
 namespace cairnhub::simulator_adapter {
 
+// Hosts the policies of all simulated brokers.
 class SimulatorHost {
  public:
-  // Takes one whole batch frame and returns the reply frame. Throws FrameError on a malformed batch.
+  // Processes one whole batch frame and returns the reply frame.
+  // @throws FrameError where the batch is malformed
+  // @throws settings::SettingError where a broker starts with settings that are not valid
   std::string process_batch(std::string_view frame);
 
  private:
-  struct Instance {
-    std::unique_ptr<RequestPolicy> policy;  // none between Exit and Init
-    std::vector<std::string> report_fields;
-    std::size_t last_batch = 0;
+  struct SimulatedBroker {
+    std::unique_ptr<RequestPolicy> policy;   // null between an Exit and an Init event
+    std::vector<std::string> report_fields;  // the names of the values in a load report, in order
+    std::size_t last_batch = 0;              // number of the last batch that named this broker
   };
 
-  void event(const BatchFrame& batch, const ByteReader& r, std::uint8_t code, Instance& inst);
-  void list(const BatchFrame& batch, const ByteReader& r, RequestPolicy& d);
-  LoadReport report(const ByteReader& r, std::size_t at, const Instance& inst) const;
-  static void act(const PolicyAction& d, ReplyFrame& reply);
+  void handle_event(const BatchFrame& batch, const ByteReader& record, std::uint8_t code,
+                    SimulatedBroker& broker);
+  void handle_endpoint_list(const BatchFrame& batch, const ByteReader& record, RequestPolicy& policy);
+  LoadReport read_load_report(const ByteReader& record, std::size_t offset,
+                              const SimulatedBroker& broker) const;
+  static void write_action(const PolicyAction& action, ReplyFrame& reply);
 
-  std::map<std::uint32_t, Instance> instances_;
-  std::map<std::uint32_t, std::string> directories_;  // numbered node lists, as last sent
-  std::size_t batches_ = 0;
+  std::map<std::uint32_t, SimulatedBroker> brokers_;
+  std::map<std::uint32_t, std::string> endpoint_lists_;  // entries as last sent, by the number of the list
+  std::size_t batch_count_ = 0;
 };
 
 }  // namespace cairnhub::simulator_adapter
