--- a/src/options/options.cpp
+++ b/src/options/options.cpp
@@ -18,265 +18,307 @@
 
 using google::protobuf::TextFormat;
 
-// One message with where its fields stand.
-struct Checked {
+// A protobuf message with the lines of its fields, for checks and error messages.
+struct MessageReader {
   const std::string& file;
   const google::protobuf::Message& message;
   TextFormat::ParseInfoTree* tree;
-  int line;  // of the message itself
+  int line;  // where the message begins
 
   int line_of(const char* field) const {
-    const auto* d = message.GetDescriptor()->FindFieldByName(field);
-    // Danger: the library ends the reading where a field that may stand often is asked for without an index.
-    if (d->is_repeated() && message.GetReflection()->FieldSize(message, d) == 0) return line;
-    const int at = tree->GetLocation(d, d->is_repeated() ? 0 : -1).line;
-    return at < 0 ? line : at + 1;
+    const auto* descriptor = message.GetDescriptor()->FindFieldByName(field);
+    // Protobuf aborts the process when the location of a repeated field is asked for without an index.
+    if (descriptor->is_repeated() && message.GetReflection()->FieldSize(message, descriptor) == 0)
+      return line;
+    const int zero_based_line = tree->GetLocation(descriptor, descriptor->is_repeated() ? 0 : -1).line;
+    return zero_based_line < 0 ? line : zero_based_line + 1;
   }
-  [[noreturn]] void complain(const char* field, const std::string& allowed) const {
-    throw OptionError(file + ":" + std::to_string(line_of(field)) + ": " + field + " " + allowed);
+  [[noreturn]] void fail(const char* field, const std::string& problem) const {
+    throw OptionError(file + ":" + std::to_string(line_of(field)) + ": " + field + " " + problem);
   }
+  // Returns the value, or throws where it is outside [min, max]. NaN is outside.
   template <class T>
-  T within(const char* field, T value, T least, T most) const {
-    char allowed[80];
-    if (!(value >= least && value <= most)) {
-      std::snprintf(allowed, sizeof allowed, "is %g; allowed is %g to %g", static_cast<double>(value),
-                    static_cast<double>(least), static_cast<double>(most));
-      complain(field, allowed);
+  T checked(const char* field, T value, T min, T max) const {
+    char problem[80];
+    if (!(value >= min && value <= max)) {
+      std::snprintf(problem, sizeof problem, "is %g; allowed is %g to %g", static_cast<double>(value),
+                    static_cast<double>(min), static_cast<double>(max));
+      fail(field, problem);
     }
     return value;
   }
 };
 
-Time ms(std::uint32_t n) { return Time{n} * 1'000'000; }
+Time from_ms(std::uint32_t milliseconds) { return Time{milliseconds} * 1'000'000; }
 
-TwoPhaseClass read_two_phase_class(const Checked& at, const schema::PhasedOpType& m) {
-  TwoPhaseClass out;
-  out.line = at.line;
-  out.name = m.name();
-  if (out.name.empty()) at.complain("name", "is missing; allowed is the name of an op type");
-  two_phase::Terms& t = out.terms;
-  t.match_share = at.within("match_share", m.match_share(), 0.05, 0.95);
-  t.shortest_fetch = ms(at.within("shortest_fetch_ms", m.shortest_fetch_ms(), 1U, 60000U));
-  t.spare = ms(at.within("spare_ms", m.spare_ms(), 0U, 10000U));
-  t.rematches = static_cast<int>(at.within("rematches", m.rematches(), 0U, 10U));
-  t.rematch_share = at.within("rematch_share", m.rematch_share(), 0.0, 1.0);
-  t.page_most = at.within("page_most", m.page_most(), 1U, 100000U);
-  t.fetch_most = at.within("fetch_most", m.fetch_most(), 1U, 10000U);
-  t.stalls_most = at.within("stalls_most", m.stalls_most(), 1U, 1000000U);
-  t.learns = m.learn_split(), t.prunes_by_score = m.prune_by_score();
-  return out;
+TwoPhaseClass read_two_phase_class(const MessageReader& reader, const schema::PhasedOpType& message) {
+  TwoPhaseClass options;
+  options.line = reader.line;
+  options.name = message.name();
+  if (options.name.empty()) reader.fail("name", "is missing; allowed is the name of an op type");
+  two_phase::Terms& terms = options.terms;
+  terms.match_share = reader.checked("match_share", message.match_share(), 0.05, 0.95);
+  terms.shortest_fetch =
+      from_ms(reader.checked("shortest_fetch_ms", message.shortest_fetch_ms(), 1U, 60000U));
+  terms.spare = from_ms(reader.checked("spare_ms", message.spare_ms(), 0U, 10000U));
+  terms.rematches = static_cast<int>(reader.checked("rematches", message.rematches(), 0U, 10U));
+  terms.rematch_share = reader.checked("rematch_share", message.rematch_share(), 0.0, 1.0);
+  terms.page_most = reader.checked("page_most", message.page_most(), 1U, 100000U);
+  terms.fetch_most = reader.checked("fetch_most", message.fetch_most(), 1U, 10000U);
+  terms.stalls_most = reader.checked("stalls_most", message.stalls_most(), 1U, 1000000U);
+  terms.learns = message.learn_split();
+  terms.prunes_by_score = message.prune_by_score();
+  return options;
 }
 
-// Letters that can't be taken for another part of a path, and no underscore first.
-bool is_index_name(const std::string& n) {
-  if (n.empty() || n.size() > 128 || n[0] == '_' || n[0] == '-') return false;
-  for (const char c : n)
+// Index names stand in request paths, where names that begin with an underscore are reserved for the API.
+bool is_index_name(const std::string& name) {
+  if (name.empty() || name.size() > 128 || name[0] == '_' || name[0] == '-') return false;
+  for (const char c : name)
     if (!((c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-' || c == '_' || c == '.')) return false;
   return true;
 }
 
-SearchOptions read_search(const schema::Search& m, TextFormat::ParseInfoTree& tree,
-                          const schema::Options& whole, const std::string& file) {
-  SearchOptions out;
-  const auto* outer = whole.GetDescriptor()->FindFieldByName("search");
-  auto* in = tree.GetTreeForNested(outer, -1);
-  const Checked self{file, m, in, tree.GetLocation(outer, -1).line + 1};
-  out.flavor = m.flavor();
-  out.max_response_bytes = std::size_t{self.within("answer_most_kb", m.answer_most_kb(), 1U, 65536U)} << 10;
-  out.max_window = self.within("window_most", m.window_most(), 1U, 1000000U);
-  out.max_items = self.within("items_most", m.items_most(), 1U, 100000U);
-  const auto* inner = m.GetDescriptor()->FindFieldByName("index");
+SearchOptions read_search(const schema::Search& search, TextFormat::ParseInfoTree& tree,
+                          const schema::Options& outer, const std::string& file) {
+  SearchOptions options;
+  const auto* search_field = outer.GetDescriptor()->FindFieldByName("search");
+  auto* search_tree = tree.GetTreeForNested(search_field, -1);
+  const MessageReader reader{file, search, search_tree, tree.GetLocation(search_field, -1).line + 1};
+  options.flavor = search.flavor();
+  options.max_response_bytes =
+      std::size_t{reader.checked("answer_most_kb", search.answer_most_kb(), 1U, 65536U)} << 10;
+  options.max_window = reader.checked("window_most", search.window_most(), 1U, 1000000U);
+  options.max_items = reader.checked("items_most", search.items_most(), 1U, 100000U);
+  const auto* index_field = search.GetDescriptor()->FindFieldByName("index");
   std::set<std::string> names;
-  for (int i = 0; i < m.index_size(); ++i) {
-    const auto& x = m.index(i);
-    const Checked at{file, x, in->GetTreeForNested(inner, i), in->GetLocation(inner, i).line + 1};
-    SearchIndex one;
-    one.line = at.line;
-    one.name = x.name(), one.request_class = x.op_type();
-    if (!is_index_name(one.name))
-      at.complain("name",
-                  "is '" + one.name +
+  for (int i = 0; i < search.index_size(); ++i) {
+    const auto& message = search.index(i);
+    const MessageReader index_reader{file, message, search_tree->GetTreeForNested(index_field, i),
+                                     search_tree->GetLocation(index_field, i).line + 1};
+    SearchIndex index;
+    index.line = index_reader.line;
+    index.name = message.name();
+    index.request_class = message.op_type();
+    if (!is_index_name(index.name))
+      index_reader.fail(
+          "name", "is '" + index.name +
                       "'; allowed are small letters, digits, '-', '_' and '.', the first a letter or digit");
-    if (!names.insert(one.name).second) at.complain("name", "stands twice; allowed is each index once");
-    one.first_shard = static_cast<int>(at.within("first_block", x.first_block(), 0U, 65535U));
-    one.shard_count = static_cast<int>(at.within("blocks", x.blocks(), 1U, 65536U));
-    one.timeout = x.has_timeout_ms() ? ms(at.within("timeout_ms", x.timeout_ms(), 1U, 600000U)) : 0;
-    out.indices.push_back(std::move(one));
+    if (!names.insert(index.name).second)
+      index_reader.fail("name", "stands twice; allowed is each index once");
+    index.first_shard =
+        static_cast<int>(index_reader.checked("first_block", message.first_block(), 0U, 65535U));
+    index.shard_count = static_cast<int>(index_reader.checked("blocks", message.blocks(), 1U, 65536U));
+    index.timeout = message.has_timeout_ms()
+                        ? from_ms(index_reader.checked("timeout_ms", message.timeout_ms(), 1U, 600000U))
+                        : 0;
+    options.indices.push_back(std::move(index));
   }
-  return out;
+  return options;
 }
 
-bool is_broker_name(const std::string& n) {
-  if (n.empty() || n.size() > 64) return false;
-  for (const char c : n)
+bool is_broker_name(const std::string& name) {
+  if (name.empty() || name.size() > 64) return false;
+  for (const char c : name)
     if (!((c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' ||
           c == '_' || c == '.'))
       return false;
   return true;
 }
-bool is_address_with_port(const std::string& a) {
-  const auto colon = a.rfind(':');
-  if (colon == std::string::npos || colon == 0 || colon + 1 == a.size() || a.size() > 64) return false;
-  for (std::size_t i = colon + 1; i < a.size(); ++i)
-    if (a[i] < '0' || a[i] > '9') return false;
+bool is_address_with_port(const std::string& address) {
+  const auto colon = address.rfind(':');
+  if (colon == std::string::npos || colon == 0 || colon + 1 == address.size() || address.size() > 64)
+    return false;
+  for (std::size_t i = colon + 1; i < address.size(); ++i)
+    if (address[i] < '0' || address[i] > '9') return false;
   return true;
 }
-constexpr const char* kName = "is missing or no name; allowed are up to 64 letters, digits and -_.";
-constexpr const char* kAddress = "is missing or no address; allowed is one with a port";
+std::string name_problem(const std::string& name) {
+  return "is \"" + name + "\"; allowed are 1 to 64 letters, digits, '-', '_' and '.'";
+}
+std::string address_problem(const std::string& address) {
+  return "is \"" + address + "\"; allowed is HOST:PORT with at most 64 characters";
+}
 
-SharedConfigOptions read_shared_config(const Checked& at, const schema::Accord& m) {
-  SharedConfigOptions out;
-  out.max_divergence_time = ms(at.within("stated_time_ms", m.stated_time_ms(), 100U, 600000U));
-  out.max_clock_drift = at.within("drift", m.drift(), 0.0, 0.2);
-  out.voter_replacement_delay =
-      ms(at.within("replace_voter_after_ms", m.replace_voter_after_ms(), 1000U, 86400000U));
-  out.max_start_wait = m.has_start_wait_ms() ? ms(at.within("start_wait_ms", m.start_wait_ms(), 0U, 600000U))
-                                             : 2 * out.max_divergence_time;
-  if (m.voter_size() < 1 || m.voter_size() > 7 || m.voter_size() % 2 == 0)
-    at.complain("voter", "names " + std::to_string(m.voter_size()) + "; allowed are 1, 3, 5 or 7");
+SharedConfigOptions read_shared_config(const MessageReader& reader, const schema::Accord& message) {
+  SharedConfigOptions options;
+  options.max_divergence_time =
+      from_ms(reader.checked("stated_time_ms", message.stated_time_ms(), 100U, 600000U));
+  options.max_clock_drift = reader.checked("drift", message.drift(), 0.0, 0.2);
+  options.voter_replacement_delay =
+      from_ms(reader.checked("replace_voter_after_ms", message.replace_voter_after_ms(), 1000U, 86400000U));
+  options.max_start_wait =
+      message.has_start_wait_ms()
+          ? from_ms(reader.checked("start_wait_ms", message.start_wait_ms(), 0U, 600000U))
+          : 2 * options.max_divergence_time;
+  if (message.voter_size() < 1 || message.voter_size() > 7 || message.voter_size() % 2 == 0)
+    reader.fail("voter", "names " + std::to_string(message.voter_size()) + "; allowed are 1, 3, 5 or 7");
   std::set<std::string> names;
-  for (const auto& v : m.voter()) {
-    if (!is_broker_name(v)) at.complain("voter", kName);
-    if (!names.insert(v).second) at.complain("voter", "\"" + v + "\" stands twice");
-    out.voters.push_back(v);
+  for (const auto& voter : message.voter()) {
+    if (!is_broker_name(voter)) reader.fail("voter", name_problem(voter));
+    if (!names.insert(voter).second) reader.fail("voter", "\"" + voter + "\" stands twice");
+    options.voters.push_back(voter);
   }
-  out.store_folder = m.folder(), out.baseline_path = m.ground_file();
-  return out;
+  options.store_folder = message.folder();
+  options.baseline_path = message.ground_file();
+  return options;
 }
 
-ZoneFailoverOptions read_zone_failover(const Checked& at, const schema::Zones& m) {
-  ZoneFailoverOptions out;
-  out.line = at.line;
-  out.home_zone = m.home();
-  const auto* field = m.GetDescriptor()->FindFieldByName("zone");
+ZoneFailoverOptions read_zone_failover(const MessageReader& reader, const schema::Zones& message) {
+  ZoneFailoverOptions options;
+  options.line = reader.line;
+  options.home_zone = message.home();
+  const auto* field = message.GetDescriptor()->FindFieldByName("zone");
   std::set<std::string> names;
-  for (int i = 0; i < m.zone_size(); ++i) {
-    const auto& z = m.zone(i);
-    const Checked here{at.file, z, at.tree->GetTreeForNested(field, i),
-                       at.tree->GetLocation(field, i).line + 1};
-    if (!is_broker_name(z.name())) here.complain("name", kName);
-    if (z.has_region() && !is_broker_name(z.region())) here.complain("region", kName);
-    if (!names.insert(z.name()).second) here.complain("name", "stands twice");
-    if (z.has_host_parts_a_second()) here.within("host_parts_a_second", z.host_parts_a_second(), 0.1, 1e7);
-    out.zones.push_back({z.name(), z.region(), z.host_parts_a_second()});
+  for (int i = 0; i < message.zone_size(); ++i) {
+    const auto& zone = message.zone(i);
+    const MessageReader nested_reader{reader.file, zone, reader.tree->GetTreeForNested(field, i),
+                                      reader.tree->GetLocation(field, i).line + 1};
+    if (!is_broker_name(zone.name())) nested_reader.fail("name", name_problem(zone.name()));
+    if (zone.has_region() && !is_broker_name(zone.region()))
+      nested_reader.fail("region", name_problem(zone.region()));
+    if (!names.insert(zone.name()).second) nested_reader.fail("name", "stands twice");
+    if (zone.has_host_parts_a_second())
+      nested_reader.checked("host_parts_a_second", zone.host_parts_a_second(), 0.1, 1e7);
+    options.zones.push_back({zone.name(), zone.region(), zone.host_parts_a_second()});
   }
-  if (m.zone_size() < 2 || m.zone_size() > 64)
-    at.complain("zone", "stands " + std::to_string(m.zone_size()) + " times; allowed are 2 to 64");
-  if (!names.count(out.home_zone))
-    at.complain("home", "is \"" + out.home_zone + "\"; allowed is one of the zones stated");
-  out.min_share_thousandths = static_cast<int>(at.within("ground_share", m.ground_share(), 0U, 200U));
-  out.headroom_share = at.within("headroom", m.headroom(), 0.0, 0.9);
-  out.local_queue_advantage = static_cast<int>(at.within("near_step", m.near_step(), 0U, 1000U));
-  out.exploration_share = at.within("look_around", m.look_around(), 0.0, 0.1);
-  out.confirmation_time = ms(at.within("confirm_ms", m.confirm_ms(), 100U, 60000U));
-  out.min_dwell = ms(at.within("dwell_ms", m.dwell_ms(), 500U, 3600000U));
-  out.step_interval = ms(at.within("step_ms", m.step_ms(), 100U, 600000U));
-  out.region_round_trip_time = ms(at.within("region_round_trip_ms", m.region_round_trip_ms(), 0U, 60000U));
-  out.region_bound_classes = {m.stay_in_region().begin(), m.stay_in_region().end()};
-  out.region_confirmation_time =
-      m.has_region_confirm_ms() ? ms(at.within("region_confirm_ms", m.region_confirm_ms(), 100U, 600000U))
-                                : out.confirmation_time;
-  out.min_region_dwell = m.has_region_dwell_ms()
-                             ? ms(at.within("region_dwell_ms", m.region_dwell_ms(), 500U, 3600000U))
-                             : 2 * out.min_dwell;
-  out.max_saved_budget_time = ms(at.within("crossing_saved_ms", m.crossing_saved_ms(), 100U, 600000U));
+  if (message.zone_size() < 2 || message.zone_size() > 64)
+    reader.fail("zone", "stands " + std::to_string(message.zone_size()) + " times; allowed are 2 to 64");
+  if (!names.count(options.home_zone))
+    reader.fail("home", "is \"" + options.home_zone + "\"; allowed is one of the zones stated");
+  options.min_share_thousandths =
+      static_cast<int>(reader.checked("ground_share", message.ground_share(), 0U, 200U));
+  options.headroom_share = reader.checked("headroom", message.headroom(), 0.0, 0.9);
+  options.local_queue_advantage =
+      static_cast<int>(reader.checked("near_step", message.near_step(), 0U, 1000U));
+  options.exploration_share = reader.checked("look_around", message.look_around(), 0.0, 0.1);
+  options.confirmation_time = from_ms(reader.checked("confirm_ms", message.confirm_ms(), 100U, 60000U));
+  options.min_dwell = from_ms(reader.checked("dwell_ms", message.dwell_ms(), 500U, 3600000U));
+  options.step_interval = from_ms(reader.checked("step_ms", message.step_ms(), 100U, 600000U));
+  options.region_round_trip_time =
+      from_ms(reader.checked("region_round_trip_ms", message.region_round_trip_ms(), 0U, 60000U));
+  options.region_bound_classes = {message.stay_in_region().begin(), message.stay_in_region().end()};
+  options.region_confirmation_time =
+      message.has_region_confirm_ms()
+          ? from_ms(reader.checked("region_confirm_ms", message.region_confirm_ms(), 100U, 600000U))
+          : options.confirmation_time;
+  options.min_region_dwell =
+      message.has_region_dwell_ms()
+          ? from_ms(reader.checked("region_dwell_ms", message.region_dwell_ms(), 500U, 3600000U))
+          : 2 * options.min_dwell;
+  options.max_saved_budget_time =
+      from_ms(reader.checked("crossing_saved_ms", message.crossing_saved_ms(), 100U, 600000U));
   std::set<std::string> budgets;
-  for (const auto& c : m.crossing()) {
-    if (!c.has_bytes_a_second()) at.complain("crossing", "states no bytes_a_second");
-    if (!budgets.insert(c.op_type()).second) at.complain("crossing", "\"" + c.op_type() + "\" stands twice");
-    out.cross_zone_bytes_per_second.emplace_back(c.op_type(), c.bytes_a_second());
+  for (const auto& crossing : message.crossing()) {
+    if (!crossing.has_bytes_a_second())
+      reader.fail("crossing", "\"" + crossing.op_type() + "\" has no bytes_a_second");
+    if (!budgets.insert(crossing.op_type()).second)
+      reader.fail("crossing", "\"" + crossing.op_type() + "\" stands twice");
+    options.cross_zone_bytes_per_second.emplace_back(crossing.op_type(), crossing.bytes_a_second());
   }
-  return out;
+  return options;
 }
 
-MaintenanceOptions read_maintenance(const Checked& at, const schema::Upkeep& m) {
-  MaintenanceOptions out;
-  const auto count = [&](const char* field, std::uint32_t n, std::uint32_t least) {
-    return static_cast<int>(at.within(field, n, least, 1000U));
+MaintenanceOptions read_maintenance(const MessageReader& reader, const schema::Upkeep& message) {
+  MaintenanceOptions options;
+  const auto count = [&](const char* field, std::uint32_t value, std::uint32_t min) {
+    return static_cast<int>(reader.checked(field, value, min, 1000U));
   };
-  out.min_warm_replicas = count("holders_least", m.holders_least(), 0);
-  out.max_machines = count("at_once", m.at_once(), 1),
-  out.max_machines_per_rack = count("a_rack", m.a_rack(), 1);
-  out.max_machines_per_zone = count("a_zone", m.a_zone(), 1),
-  out.max_machines_per_region = count("a_region", m.a_region(), 1);
-  out.min_in_service_zone_share = at.within("zone_keep", m.zone_keep(), 0.0, 1.0);
-  out.headroom_share = at.within("headroom", m.headroom(), 0.0, 0.9);
-  out.lost_machine_timeout = ms(at.within("lost_after_ms", m.lost_after_ms(), 1000U, 604800000U));
-  out.transition_time = ms(at.within("around_ms", m.around_ms(), 0U, 86400000U));
-  out.leave_notice = ms(at.within("notice_ms", m.notice_ms(), 0U, 600000U));
-  out.check_interval = ms(at.within("look_ms", m.look_ms(), 10U, 10000U));
-  out.stops_on_loss = m.stop_on_loss();
-  return out;
+  options.min_warm_replicas = count("holders_least", message.holders_least(), 0);
+  options.max_machines = count("at_once", message.at_once(), 1);
+  options.max_machines_per_rack = count("a_rack", message.a_rack(), 1);
+  options.max_machines_per_zone = count("a_zone", message.a_zone(), 1);
+  options.max_machines_per_region = count("a_region", message.a_region(), 1);
+  options.min_in_service_zone_share = reader.checked("zone_keep", message.zone_keep(), 0.0, 1.0);
+  options.headroom_share = reader.checked("headroom", message.headroom(), 0.0, 0.9);
+  options.lost_machine_timeout =
+      from_ms(reader.checked("lost_after_ms", message.lost_after_ms(), 1000U, 604800000U));
+  options.transition_time = from_ms(reader.checked("around_ms", message.around_ms(), 0U, 86400000U));
+  options.leave_notice = from_ms(reader.checked("notice_ms", message.notice_ms(), 0U, 600000U));
+  options.check_interval = from_ms(reader.checked("look_ms", message.look_ms(), 10U, 10000U));
+  options.stops_on_loss = message.stop_on_loss();
+  return options;
 }
 
-ClusterOptions read_cluster(const schema::Fleet& m, TextFormat::ParseInfoTree& tree,
+ClusterOptions read_cluster(const schema::Fleet& message, TextFormat::ParseInfoTree& tree,
                             const schema::Options& outer, const std::string& file) {
   const auto* field = outer.GetDescriptor()->FindFieldByName("fleet");
-  auto* in = tree.GetTreeForNested(field, -1);
-  const Checked at{file, m, in, tree.GetLocation(field, -1).line + 1};
-  ClusterOptions out;
-  out.line = at.line;
-  out.name = m.name(), out.listen_address = m.listen(), out.key_path = m.key_file();
-  if (!is_broker_name(out.name)) at.complain("name", kName);
-  if (!is_address_with_port(out.listen_address)) at.complain("listen", kAddress);
-  out.advertised_address = m.has_advertise() ? m.advertise() : out.listen_address;
-  if (!is_address_with_port(out.advertised_address)) at.complain("advertise", kAddress);
-  if (out.key_path.empty()) at.complain("key_file", "is missing; allowed is the name of a file");
-  if (m.has_operators() && !is_address_with_port(m.operators())) at.complain("operators", kAddress);
-  out.admin_address = m.operators(), out.event_log_path = m.records();
-  out.probe_interval = ms(at.within("probe_ms", m.probe_ms(), 20U, 60000U));
-  out.probe_timeout = ms(at.within("answer_within_ms", m.answer_within_ms(), 5U, m.probe_ms()));
-  out.shares_endpoint_lists = m.share_lists();
+  auto* cluster_tree = tree.GetTreeForNested(field, -1);
+  const MessageReader reader{file, message, cluster_tree, tree.GetLocation(field, -1).line + 1};
+  ClusterOptions options;
+  options.line = reader.line;
+  options.name = message.name();
+  options.listen_address = message.listen();
+  options.key_path = message.key_file();
+  if (!is_broker_name(options.name)) reader.fail("name", name_problem(options.name));
+  if (!is_address_with_port(options.listen_address))
+    reader.fail("listen", address_problem(options.listen_address));
+  options.advertised_address = message.has_advertise() ? message.advertise() : options.listen_address;
+  if (!is_address_with_port(options.advertised_address))
+    reader.fail("advertise", address_problem(options.advertised_address));
+  if (options.key_path.empty()) reader.fail("key_file", "is missing; allowed is the name of a file");
+  if (message.has_operators() && !is_address_with_port(message.operators()))
+    reader.fail("operators", address_problem(message.operators()));
+  options.admin_address = message.operators();
+  options.event_log_path = message.records();
+  options.probe_interval = from_ms(reader.checked("probe_ms", message.probe_ms(), 20U, 60000U));
+  options.probe_timeout =
+      from_ms(reader.checked("answer_within_ms", message.answer_within_ms(), 5U, message.probe_ms()));
+  options.shares_endpoint_lists = message.share_lists();
   std::set<std::string> names;
-  const auto* peers = m.GetDescriptor()->FindFieldByName("peer");
-  for (int i = 0; i < m.peer_size(); ++i) {
-    const auto& p = m.peer(i);
-    const Checked here{file, p, in->GetTreeForNested(peers, i), in->GetLocation(peers, i).line + 1};
-    if (!is_broker_name(p.name())) here.complain("name", kName);
-    if (!names.insert(p.name()).second) here.complain("name", "stands twice");
-    if (!is_address_with_port(p.address())) here.complain("address", kAddress);
-    out.peers.push_back({p.name(), p.address()});
+  const auto* peers = message.GetDescriptor()->FindFieldByName("peer");
+  for (int i = 0; i < message.peer_size(); ++i) {
+    const auto& peer = message.peer(i);
+    const MessageReader nested_reader{file, peer, cluster_tree->GetTreeForNested(peers, i),
+                                      cluster_tree->GetLocation(peers, i).line + 1};
+    if (!is_broker_name(peer.name())) nested_reader.fail("name", name_problem(peer.name()));
+    if (!names.insert(peer.name()).second) nested_reader.fail("name", "stands twice");
+    if (!is_address_with_port(peer.address())) nested_reader.fail("address", address_problem(peer.address()));
+    options.peers.push_back({peer.name(), peer.address()});
   }
-  if (m.has_accord()) {
-    const auto* f = m.GetDescriptor()->FindFieldByName("accord");
-    const Checked here{file, m.accord(), in->GetTreeForNested(f, -1), in->GetLocation(f, -1).line + 1};
-    out.shared_config = read_shared_config(here, m.accord());
-    for (const auto& v : out.shared_config->voters)
-      if (v != out.name && !names.count(v))
-        here.complain("voter", "\"" + v + "\" is neither this broker nor a stated peer");
+  if (message.has_accord()) {
+    const auto* nested = message.GetDescriptor()->FindFieldByName("accord");
+    const MessageReader nested_reader{file, message.accord(), cluster_tree->GetTreeForNested(nested, -1),
+                                      cluster_tree->GetLocation(nested, -1).line + 1};
+    options.shared_config = read_shared_config(nested_reader, message.accord());
+    for (const auto& voter : options.shared_config->voters)
+      if (voter != options.name && !names.count(voter))
+        nested_reader.fail("voter", "\"" + voter + "\" is neither this broker nor one of its peers");
   }
-  if (m.has_zones()) {
-    const auto* f = m.GetDescriptor()->FindFieldByName("zones");
-    const Checked here{file, m.zones(), in->GetTreeForNested(f, -1), in->GetLocation(f, -1).line + 1};
-    out.zone_failover = read_zone_failover(here, m.zones());
+  if (message.has_zones()) {
+    const auto* nested = message.GetDescriptor()->FindFieldByName("zones");
+    const MessageReader nested_reader{file, message.zones(), cluster_tree->GetTreeForNested(nested, -1),
+                                      cluster_tree->GetLocation(nested, -1).line + 1};
+    options.zone_failover = read_zone_failover(nested_reader, message.zones());
   }
-  if (m.has_upkeep()) {
-    const auto* f = m.GetDescriptor()->FindFieldByName("upkeep");
-    const Checked here{file, m.upkeep(), in->GetTreeForNested(f, -1), in->GetLocation(f, -1).line + 1};
-    if (!m.has_accord())
-      at.complain("upkeep", "is stated, but no accord; allowed is upkeep beside an accord");
-    out.maintenance = read_maintenance(here, m.upkeep());
+  if (message.has_upkeep()) {
+    const auto* nested = message.GetDescriptor()->FindFieldByName("upkeep");
+    const MessageReader nested_reader{file, message.upkeep(), cluster_tree->GetTreeForNested(nested, -1),
+                                      cluster_tree->GetLocation(nested, -1).line + 1};
+    if (!message.has_accord()) reader.fail("upkeep", "requires accord, which is absent");
+    options.maintenance = read_maintenance(nested_reader, message.upkeep());
   }
-  return out;
+  return options;
 }
 
 }  // namespace
 
 void check_cluster(const Options& options, const settings::Settings& settings) {
   if (options.cluster && !settings.flag("ceilings.peers", true))
-    throw OptionError(
-        options.file + ":" + std::to_string(options.cluster->line) +
-        ": fleet is stated, but the settings' ceilings.peers forbids brokers to talk to each other");
+    throw OptionError(options.file + ":" + std::to_string(options.cluster->line) +
+                      ": fleet is given, but the setting ceilings.peers is false and forbids brokers to talk "
+                      "to each other");
   if (!options.cluster || !options.cluster->zone_failover) return;
-  const auto all = settings::request_classes(settings);
-  const auto known = [&](const char* field, const std::string& name) {
-    if (std::none_of(all.begin(), all.end(), [&](const auto& op) { return op.name == name; }))
+  const auto classes = settings::request_classes(settings);
+  const auto check_class = [&](const char* field, const std::string& name) {
+    if (std::none_of(classes.begin(), classes.end(), [&](const auto& known) { return known.name == name; }))
       throw OptionError(options.file + ":" + std::to_string(options.cluster->zone_failover->line) + ": " +
                         field + " is '" + name + "'; allowed is an op type of the settings");
   };
-  for (const auto& name : options.cluster->zone_failover->region_bound_classes) known("stay_in_region", name);
+  for (const auto& name : options.cluster->zone_failover->region_bound_classes)
+    check_class("stay_in_region", name);
   for (const auto& [name, ignored] : options.cluster->zone_failover->cross_zone_bytes_per_second)
-    known("crossing", name);
+    check_class("crossing", name);
 }
 
 Options read(const std::string& file) {
@@ -293,76 +335,86 @@
   parser.RecordErrorsTo(&error);
   parser.WriteLocationsTo(&tree);
   if (!parser.ParseFromString(text, &message))
-    throw OptionError(file + ":" + (error.text.empty() ? " can't be used" : error.text));
-  Options out;
-  out.file = file;
+    throw OptionError(file + ":" + (error.text.empty() ? " is not valid protobuf text" : error.text));
+  Options options;
+  options.file = file;
   if (message.has_two_phase()) {
-    const auto* outer = message.GetDescriptor()->FindFieldByName("two_phase");
-    const auto* inner = message.two_phase().GetDescriptor()->FindFieldByName("op_type");
-    auto* in = tree.GetTreeForNested(outer, -1);
+    const auto* two_phase_field = message.GetDescriptor()->FindFieldByName("two_phase");
+    const auto* class_field = message.two_phase().GetDescriptor()->FindFieldByName("op_type");
+    auto* two_phase_tree = tree.GetTreeForNested(two_phase_field, -1);
     std::set<std::string> names;
     for (int i = 0; i < message.two_phase().op_type_size(); ++i) {
-      const auto& m = message.two_phase().op_type(i);
-      const Checked at{out.file, m, in->GetTreeForNested(inner, i), in->GetLocation(inner, i).line + 1};
-      out.two_phase_classes.push_back(read_two_phase_class(at, m));
-      if (!names.insert(m.name()).second) at.complain("name", "stands twice; allowed is each op type once");
+      const auto& request_class = message.two_phase().op_type(i);
+      const MessageReader reader{options.file, request_class,
+                                 two_phase_tree->GetTreeForNested(class_field, i),
+                                 two_phase_tree->GetLocation(class_field, i).line + 1};
+      options.two_phase_classes.push_back(read_two_phase_class(reader, request_class));
+      if (!names.insert(request_class.name()).second)
+        reader.fail("name", "stands twice; allowed is each op type once");
     }
   }
-  if (message.has_fleet()) out.cluster = read_cluster(message.fleet(), tree, message, out.file);
-  if (message.has_search()) out.search = read_search(message.search(), tree, message, out.file);
-  return out;
+  if (message.has_fleet()) options.cluster = read_cluster(message.fleet(), tree, message, options.file);
+  if (message.has_search()) options.search = read_search(message.search(), tree, message, options.file);
+  return options;
 }
 
 std::vector<ResolvedSearchIndex> resolve_search_indices(const Options& options,
                                                         const settings::Settings& settings) {
-  std::vector<ResolvedSearchIndex> out;
-  if (!options.search) return out;
-  const auto all = settings::request_classes(settings);
-  const int shards = settings.integer("family-info.ranges");
-  for (const SearchIndex& x : options.search->indices) {
-    const auto complain = [&](const std::string& what) {
-      throw OptionError(options.file + ":" + std::to_string(x.line) + ": " + what);
+  std::vector<ResolvedSearchIndex> resolved;
+  if (!options.search) return resolved;
+  const auto classes = settings::request_classes(settings);
+  const int shard_count = settings.integer("family-info.ranges");
+  for (const SearchIndex& index : options.search->indices) {
+    const auto fail = [&](const std::string& problem) {
+      throw OptionError(options.file + ":" + std::to_string(index.line) + ": " + problem);
     };
     std::size_t i = 0;
-    while (i < all.size() && all[i].name != x.request_class) ++i;
-    if (i == all.size())
-      complain("op_type is '" + x.request_class + "'; allowed is an op type of the settings");
-    if (all[i].properties.idempotency != Idempotency::kIdempotent)
-      complain("op_type is '" + x.request_class +
-               "', which is not retriable; allowed is one that may be asked again");
-    if (x.first_shard + x.shard_count > shards)
-      complain("first_block and blocks reach past shard " + std::to_string(shards - 1) +
-               ", the last of the settings");
-    out.push_back({x, static_cast<int>(i), all[i].properties});
-    if (out.back().index.timeout == 0) out.back().index.timeout = all[i].properties.request_timeout;
+    while (i < classes.size() && classes[i].name != index.request_class) ++i;
+    if (i == classes.size())
+      fail("op_type is '" + index.request_class + "'; allowed is an op type of the settings");
+    if (classes[i].properties.idempotency != Idempotency::kIdempotent)
+      fail("op_type is '" + index.request_class +
+           "', which is not retriable; allowed is one that may be asked again");
+    if (index.first_shard + index.shard_count > shard_count)
+      fail("first_block " + std::to_string(index.first_shard) + " and blocks " +
+           std::to_string(index.shard_count) + " reach past shard " + std::to_string(shard_count - 1) +
+           ", the last of the settings");
+    resolved.push_back({index, static_cast<int>(i), classes[i].properties});
+    if (resolved.back().index.timeout == 0)
+      resolved.back().index.timeout = classes[i].properties.request_timeout;
   }
-  return out;
+  return resolved;
 }
 
 std::vector<ResolvedTwoPhaseClass> resolve_two_phase_classes(const Options& options,
                                                              const settings::Settings& settings) {
-  const auto all = settings::request_classes(settings);
-  const Time longest_wait =
+  const auto classes = settings::request_classes(settings);
+  const Time max_retry_after =
       settings.flag("ceilings.retry-after", false) ? settings.duration("ceilings.max-retry-after", 0) : 0;
-  std::vector<ResolvedTwoPhaseClass> out;
-  for (const TwoPhaseClass& p : options.two_phase_classes) {
-    const auto complain = [&](const std::string& what) {
-      throw OptionError(options.file + ":" + std::to_string(p.line) + ": name " + what);
+  std::vector<ResolvedTwoPhaseClass> resolved;
+  for (const TwoPhaseClass& two_phase_class : options.two_phase_classes) {
+    const auto fail = [&](const std::string& problem) {
+      throw OptionError(options.file + ":" + std::to_string(two_phase_class.line) + ": name " + problem);
     };
     std::size_t i = 0;
-    while (i < all.size() && all[i].name != p.name) ++i;
-    if (i == all.size()) complain("is '" + p.name + "'; allowed is an op type of the settings");
-    const RequestClass& op = all[i].properties;
-    if (op.idempotency != Idempotency::kIdempotent)
-      complain("is '" + p.name + "', which is not retriable; allowed is an op type that may be asked again");
-    ResolvedTwoPhaseClass& mine = out.emplace_back(ResolvedTwoPhaseClass{static_cast<int>(i), op, p.terms});
-    two_phase::Terms& t = mine.terms;
-    t.need = op.required_share, t.least = op.min_response_share;
-    t.partial = op.min_response_share < op.required_share && op.partial_value_share > 0;
-    t.latency_budget = op.latency_objective, t.late_earns = op.late_value_share > 0;
-    t.come_back = longest_wait;
+    while (i < classes.size() && classes[i].name != two_phase_class.name) ++i;
+    if (i == classes.size()) fail("is '" + two_phase_class.name + "'; allowed is an op type of the settings");
+    const RequestClass& properties = classes[i].properties;
+    if (properties.idempotency != Idempotency::kIdempotent)
+      fail("is '" + two_phase_class.name +
+           "', which is not retriable; allowed is an op type that may be asked again");
+    ResolvedTwoPhaseClass& added =
+        resolved.emplace_back(ResolvedTwoPhaseClass{static_cast<int>(i), properties, two_phase_class.terms});
+    two_phase::Terms& terms = added.terms;
+    terms.need = properties.required_share;
+    terms.least = properties.min_response_share;
+    terms.partial =
+        properties.min_response_share < properties.required_share && properties.partial_value_share > 0;
+    terms.latency_budget = properties.latency_objective;
+    terms.late_earns = properties.late_value_share > 0;
+    terms.come_back = max_retry_after;
   }
-  return out;
+  return resolved;
 }
 
 }  // namespace cairnhub::options
