--- a/src/cli/accord.cpp
+++ b/src/cli/accord.cpp
@@ -203,7 +203,7 @@
     std::ifstream file(options.rules_path, std::ios::binary);
     if (!file) return report_error(kFailure, options.rules_path + ": can't be read");
     text.assign(std::istreambuf_iterator<char>(file), {});
-    shared_config::parse_rules(text, options.rules_path);  // throws with the line of an error
+    shared_config::parse_rule_set(text, options.rules_path);  // throws with the line of an error
   }
   std::uint64_t base = options.base_version;
   if (!base) {
--- a/src/cluster/cluster_node.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -43,19 +43,19 @@
   return result;
 }
 
-shared_config::Terms shared_config_terms(const options::SharedConfigOptions& options) {
-  shared_config::Terms terms;
-  terms.lease.stated = options.max_divergence_time;
-  terms.lease.drift = options.max_clock_drift;
+shared_config::SharedConfigSettings shared_config_terms(const options::SharedConfigOptions& options) {
+  shared_config::SharedConfigSettings terms;
+  terms.lease.max_divergence = options.max_divergence_time;
+  terms.lease.max_clock_drift = options.max_clock_drift;
   terms.voters = options.voters;
-  terms.life = randombytes_random();
-  terms.replace_after = options.voter_replacement_delay;
+  terms.incarnation = randombytes_random();
+  terms.voter_replacement_delay = options.voter_replacement_delay;
   // Elections take a small share of the stated time, so that the first commits after an election fit into it
   // as well.
   const Time ms = kSecond / 1000;
-  terms.engine.election = std::clamp<Time>(options.max_divergence_time / 8, 60 * ms, 300 * ms);
-  terms.engine.heartbeat = terms.engine.election / 5;
-  terms.engine.tick = std::max<Time>(5 * ms, terms.engine.election / 15);
+  terms.raft.election = std::clamp<Time>(options.max_divergence_time / 8, 60 * ms, 300 * ms);
+  terms.raft.heartbeat = terms.raft.election / 5;
+  terms.raft.tick = std::max<Time>(5 * ms, terms.raft.election / 15);
   return terms;
 }
 
@@ -95,12 +95,12 @@
   return state == EndpointState::kReady ? "ready" : state == EndpointState::kDraining ? "draining" : "gone";
 }
 
-shared_config::Rules read_baseline(const options::SharedConfigOptions& options) {
+shared_config::RuleSet read_baseline(const options::SharedConfigOptions& options) {
   if (options.baseline_path.empty()) return {};
   std::ifstream in(options.baseline_path, std::ios::binary);
   if (!in)
     throw std::runtime_error(options.baseline_path + ": the file with the baseline rules can't be read");
-  return shared_config::parse_rules({std::istreambuf_iterator<char>(in), {}}, options.baseline_path);
+  return shared_config::parse_rule_set({std::istreambuf_iterator<char>(in), {}}, options.baseline_path);
 }
 
 }  // namespace
@@ -118,7 +118,7 @@
     event_log_ = std::make_unique<EventLog>(options.event_log_path, options.name);
   for (const auto& peer : options.peers) membership_.add_configured_member(peer.name, peer.address);
   if (options.shared_config) {
-    shared_config::Rules baseline = read_baseline(*options.shared_config);
+    shared_config::RuleSet baseline = read_baseline(*options.shared_config);
     if (!options.shared_config->store_folder.empty()) {
       std::string damaged_store;
       std::uint64_t id;
@@ -130,7 +130,7 @@
         if (event_log_) event_log_->record_event("set_aside").with("as", damaged_store);
       }
     }
-    config_node_ = std::make_unique<shared_config::Accord>(
+    config_node_ = std::make_unique<shared_config::SharedConfigNode>(
         shared_config_terms(*options.shared_config), options.name, store_.get(), std::move(baseline),
         seed + 1, std::make_shared<maintenance::JobQueue>());
     std::string text;
@@ -140,26 +140,28 @@
       saved_baseline_ = number;
       saved.number = number;
       saved.text = text;
-      saved.hash = shared_config::hash_of(text);
-      saved.rules =
-          std::make_shared<const shared_config::Rules>(shared_config::parse_rules(text, "saved baseline"));
-      config_node_->keep_ground(saved);
+      saved.hash = shared_config::content_hash(text);
+      saved.rules = std::make_shared<const shared_config::RuleSet>(
+          shared_config::parse_rule_set(text, "saved baseline"));
+      config_node_->restore_baseline(saved);
     }
-    config_node_->applied = [this](const shared_config::Entry& entry, const shared_config::Verdict& verdict) {
+    config_node_->on_applied = [this](const shared_config::ConfigEntry& entry,
+                                      const shared_config::ApplyResult& verdict) {
       if (!event_log_) return;
       event_log_->record_event("applied")
           .with("kind", static_cast<std::uint64_t>(entry.kind))
           .with("number", verdict.number)
           .with("id", entry.id)
-          .with("index", config_node_ && config_node_->engine() ? config_node_->engine()->applied_index() : 0)
-          .with("refused", verdict.refused);
-      if (maintenance_agent_ && entry.kind == shared_config::Entry::Kind::board)
+          .with("index",
+                config_node_ && config_node_->raft_node() ? config_node_->raft_node()->applied_index() : 0)
+          .with("refused", verdict.rejection);
+      if (maintenance_agent_ && entry.kind == shared_config::ConfigEntry::Kind::kStateMachine)
         maintenance_agent_->record_job_changes();
     };
-    applied_rules_ = config_node_->acting(now());
+    applied_rules_ = config_node_->active_config(now());
   } else {
-    auto none = std::make_shared<shared_config::Acting>();
-    none->rules = std::make_shared<const shared_config::Rules>();
+    auto none = std::make_shared<shared_config::ActiveConfig>();
+    none->rules = std::make_shared<const shared_config::RuleSet>();
     applied_rules_ = std::move(none);
   }
   limits_.resize(request_classes_.size());
@@ -189,7 +191,7 @@
         std::count(options.region_bound_classes.begin(), options.region_bound_classes.end(),
                    classes[i].name) > 0 ||
         classes[i].properties.latency_objective < kMinRoundTripsInObjective * options.region_round_trip_time;
-  if (!config_node_) standalone_zone_versions_ = std::make_unique<shared_config::Versions>();
+  if (!config_node_) standalone_zone_versions_ = std::make_unique<shared_config::VersionHistory>();
   cross_zone_budget_ =
       std::make_unique<zone_failover::CrossZoneBudget>(options.max_saved_budget_time, classes.size());
   configured_byte_budgets_.assign(classes.size(), zone_failover::kNoBudget);
@@ -211,7 +213,7 @@
 }
 
 bool ClusterNode::is_ready() {
-  return !config_node_ || config_node_->ever_answered() ||
+  return !config_node_ || config_node_->has_leader_answered() ||
          now() - started_at_ >= options_.shared_config->max_start_wait;
 }
 
@@ -252,7 +254,7 @@
   } else if (kind == kSharedConfigMessage && config_node_) {
     accord::wire::Packet packet;
     if (packet.ParseFromArray(body.data(), static_cast<int>(body.size())))
-      config_node_->received(now(), from, packet);
+      config_node_->handle_message(now(), from, packet);
   } else if (kind == kMaintenanceMessage && maintenance_agent_) {
     maintenance_agent_->handle_message(now(), hooks_, from, body);
   } else if (kind == kZoneReportMessage && zone_failover_) {
@@ -264,7 +266,7 @@
 
 std::string ClusterNode::notices_digest() const {
   accord::wire::Lists lists;
-  lists.set_newest(gossip_.newest());
+  lists.set_newest(gossip_.newest_revision());
   lists.set_digest(gossip_.digest());
   return lists.SerializeAsString();
 }
@@ -273,43 +275,44 @@
   if (!options_.shares_endpoint_lists) return;
   accord::wire::Lists lists;
   if (!lists.ParseFromString(payload)) return;
-  gossip_.heard_of(lists.newest());
+  gossip_.note_revision(lists.newest());
   for (const auto& wire_notice : lists.notice()) {
     if (wire_notice.node().empty() || wire_notice.node().size() > 128) continue;
-    const shared_config::Notice notice{wire_notice.node(), wire_notice.started(), wire_notice.gone(),
-                                       wire_notice.revision()};
-    if (!gossip_.heard(notice)) continue;
+    const shared_config::EndpointNotice notice{wire_notice.node(), wire_notice.started(), wire_notice.gone(),
+                                               wire_notice.revision()};
+    if (!gossip_.handle_notice(notice)) continue;
     ++gossip_changes_;
     if (!event_log_) continue;
-    recorded_unavailable_.insert(notice.node);
+    recorded_unavailable_.insert(notice.endpoint);
     event_log_->record_event("heard")
-        .with("node", notice.node)
-        .with("state", notice.gone ? "gone" : "draining")
+        .with("node", notice.endpoint)
+        .with("state", notice.is_gone ? "gone" : "draining")
         .with("revision", notice.revision)
         .with("from", from);
   }
-  if (lists.ask()) send_notices(gossip_.all(), from);
+  if (lists.ask()) send_notices(gossip_.notices(), from);
   // The sender holds different notices: request all of them, at most once per interval.
   if (!lists.ask() && lists.has_digest() && lists.digest() != gossip_.digest() &&
       now() - notices_requested_at_ >= kNoticeRequestInterval) {
     notices_requested_at_ = now();
     accord::wire::Lists ask;
-    ask.set_newest(gossip_.newest());
+    ask.set_newest(gossip_.newest_revision());
     ask.set_ask(true);
     membership_.send_payload(from, ask.SerializeAsString());
   }
 }
 
 // Sends to the broker `to`, or to a few random ones if `to` is empty.
-void ClusterNode::send_notices(const std::vector<shared_config::Notice>& notices, const std::string& to) {
+void ClusterNode::send_notices(const std::vector<shared_config::EndpointNotice>& notices,
+                               const std::string& to) {
   for (std::size_t first = 0; first < notices.size(); first += kMaxNoticesPerMessage) {
     accord::wire::Lists lists;
-    lists.set_newest(gossip_.newest());
+    lists.set_newest(gossip_.newest_revision());
     for (std::size_t i = first; i < std::min(first + kMaxNoticesPerMessage, notices.size()); ++i) {
       auto* notice = lists.add_notice();
-      notice->set_node(notices[i].node);
-      notice->set_started(notices[i].started);
-      notice->set_gone(notices[i].gone);
+      notice->set_node(notices[i].endpoint);
+      notice->set_started(notices[i].started_at);
+      notice->set_gone(notices[i].is_gone);
       notice->set_revision(notices[i].revision);
     }
     if (to.empty())
@@ -330,7 +333,7 @@
   is_processing_ = true;
   const Time at = now();
   if (options_.shares_endpoint_lists && !is_list_open_) {
-    if (const auto notices = gossip_.news(); !notices.empty()) send_notices(notices, "");
+    if (const auto notices = gossip_.take_new_notices(); !notices.empty()) send_notices(notices, "");
   }
   while (auto outgoing = membership_.take_outgoing()) {
     if (outgoing->message.payload.empty() && options_.shares_endpoint_lists)
@@ -348,17 +351,18 @@
     if (zone_failover_ && !membership::is_live(change->to)) zone_failover_->remove_broker(change->name);
     if (maintenance_agent_ && !membership::is_live(change->to))
       maintenance_agent_->forget_broker(change->name);
-    if (config_node_) config_node_->peer(at, change->name, membership::is_live(change->to));
+    if (config_node_) config_node_->update_peer(at, change->name, membership::is_live(change->to));
   }
   while (auto name = membership_.take_forgotten_member()) transport_.forget_peer(*name);
   if (config_node_) {
     if (zone_failover_) update_shared_zones();
     if (maintenance_agent_)
-      maintenance_agent_->run_check(at, hooks_, *applied_rules_, listed_endpoints_, gossip_.own());
+      maintenance_agent_->run_check(at, hooks_, *applied_rules_, listed_endpoints_, gossip_.own_revision());
     save_baseline();
-    // Before the other brokers learn of the lease, so that the event log has no consequence before its cause.
+    // Before the other brokers learn of the lease, so that the event log has no consequence
+    // before its cause.
     record_lease();
-    while (auto outgoing = config_node_->send())
+    while (auto outgoing = config_node_->take_message())
       send_to(outgoing->to, kSharedConfigMessage + outgoing->bytes);
   } else if (zone_failover_) {
     update_standalone_zones();
@@ -368,8 +372,9 @@
   if (may_call_hooks) check_list_lag();
   Time next = membership_.next_timer();
   if (config_node_) {
-    next = std::min(next, config_node_->wake());
-    if (config_node_->holder().until() > at) next = std::min(next, config_node_->holder().until());
+    next = std::min(next, config_node_->next_wake());
+    if (config_node_->lease_client().lease_expires_at() > at)
+      next = std::min(next, config_node_->lease_client().lease_expires_at());
   }
   if (zone_failover_) next = std::min(next, std::max(zone_failover_->next_report_at(), at + 1));
   if (maintenance_agent_) next = std::min(next, std::max(maintenance_agent_->next_check_at(), at + 1));
@@ -378,7 +383,7 @@
   if (next != kNever) timer_.start(std::max<Time>(0, next - now()));
   const bool has_changes = !is_list_open_ && hooks_.rules_changed &&
                            (gossip_changes_seen_ != gossip_changes_ ||
-                            (config_node_ && config_node_->acting(now()) != applied_rules_));
+                            (config_node_ && config_node_->active_config(now()) != applied_rules_));
   is_processing_ = false;
   if (has_changes && may_call_hooks) hooks_.rules_changed();
 }
@@ -386,7 +391,7 @@
 void ClusterNode::handle_timer() {
   const Time at = now();
   membership_.handle_timers(at);
-  if (config_node_) config_node_->woken(at);
+  if (config_node_) config_node_->handle_wake(at);
   process_events();
 }
 
@@ -395,14 +400,14 @@
 // the versions made since then allow. While the next baseline is pending, the rules saved are those that both
 // baselines allow, under the number of the older one; after a restart the broker requests both again.
 void ClusterNode::save_baseline() {
-  const auto& holder = config_node_->holder();
-  const auto& baseline = holder.ground();
-  const std::uint64_t next = holder.ground_next() ? holder.ground_next()->number : 0;
+  const auto& holder = config_node_->lease_client();
+  const auto& baseline = holder.baseline();
+  const std::uint64_t next = holder.next_baseline() ? holder.next_baseline()->number : 0;
   if (baseline.number == saved_baseline_ && next == saved_next_baseline_) return;
   const bool is_newer = baseline.number > saved_baseline_ && !next;
   saved_baseline_ = std::max(saved_baseline_, baseline.number);
   saved_next_baseline_ = next;
-  if (store_) store_->keep_ground(shared_config::text_of(holder.grounded()), baseline.number);
+  if (store_) store_->keep_ground(shared_config::canonical_text(holder.baseline_rules()), baseline.number);
   if (is_newer && event_log_) event_log_->record_event("keeps").with("ground", baseline.number);
 }
 
@@ -410,10 +415,10 @@
 void ClusterNode::record_lease() {
   if (!event_log_) return;
   const Time at = now();
-  const Time until = config_node_->holder().until();
-  const auto& acting = config_node_->acting(at);
+  const Time until = config_node_->lease_client().lease_expires_at();
+  const auto& acting = config_node_->active_config(at);
   if (acting->low == 0) {
-    if (recorded_lease_low_ != 0) event_log_->record_event("ground").with("ground", acting->ground);
+    if (recorded_lease_low_ != 0) event_log_->record_event("ground").with("ground", acting->baseline);
     recorded_lease_low_ = 0;
     recorded_lease_high_ = 0;
     return;
@@ -446,12 +451,13 @@
   log("zones", "%s", entry->why.c_str());
   if (event_log_)
     event_log_->record_event("zones").with("why", entry->why).with("note", entry->note).with("id", entry->id);
-  const bool is_baseline = entry->kind == shared_config::Entry::Kind::propose_ground;
+  const bool is_baseline = entry->kind == shared_config::ConfigEntry::Kind::kProposeBaseline;
   entry->number = standalone_zone_versions_->apply(*entry).number;
-  entry->kind = is_baseline ? shared_config::Entry::Kind::force_ground : shared_config::Entry::Kind::force;
+  entry->kind = is_baseline ? shared_config::ConfigEntry::Kind::kActivateBaseline
+                            : shared_config::ConfigEntry::Kind::kActivateVersion;
   standalone_zone_versions_->apply(*entry);
-  const shared_config::Version& newest = standalone_zone_versions_->all().rbegin()->second;
-  auto acting = std::make_shared<shared_config::Acting>();
+  const shared_config::Version& newest = standalone_zone_versions_->versions().rbegin()->second;
+  auto acting = std::make_shared<shared_config::ActiveConfig>();
   acting->rules = newest.rules;
   acting->low = newest.number;
   acting->high = newest.number;
@@ -471,7 +477,7 @@
   to.erase(options_.name);
   const std::string bytes = kZoneReportMessage + zone_failover::encode(*report);
   for (const auto& name : to) send_to(name, bytes);
-  const auto* engine = config_node_->engine();
+  const auto* engine = config_node_->raft_node();
   if (!engine || !engine->leads()) return zone_failover_->stop_leading();
   if (auto entry = zone_failover_->propose_change(at, engine->versions())) {
     log("zones", "%s", entry->why.c_str());
@@ -488,9 +494,9 @@
 void ClusterNode::update_zone_limits() {
   const shared_config::Version* newest = nullptr;
   if (standalone_zone_versions_) {
-    newest = &standalone_zone_versions_->all().rbegin()->second;
+    newest = &standalone_zone_versions_->versions().rbegin()->second;
   } else if (applied_rules_->high) {
-    const auto& versions = config_node_->holder().versions();
+    const auto& versions = config_node_->lease_client().versions();
     const auto it = versions.find(applied_rules_->high);
     if (it != versions.end()) newest = &it->second;
   }
@@ -570,7 +576,8 @@
 // Sets each class's budget to the lower of the configured one and the one that the rules allow.
 void ClusterNode::update_cross_zone_budgets() {
   for (std::size_t i = 0; i < request_classes_.size(); ++i) {
-    const std::int64_t limit = applied_rules_->rules->of(request_classes_[i]).crossing_most;
+    const std::int64_t limit =
+        applied_rules_->rules->rule_for(request_classes_[i]).max_cross_zone_bytes_per_second;
     cross_zone_budget_->set_limit(
         now(), static_cast<int>(i),
         std::min(configured_byte_budgets_[i],
@@ -591,7 +598,7 @@
 
 void ClusterNode::check_list_lag() {
   const Time at = now();
-  if (!gossip_.behind() || gossip_.own() == 0) {
+  if (!gossip_.is_behind() || gossip_.own_revision() == 0) {
     behind_since_ = kNever;
     return;
   }
@@ -602,9 +609,12 @@
   list_requested_at_ = at;
   log("fleet",
       "endpoint list has revision %llu, other brokers have %llu: requesting the list from the agent again",
-      static_cast<unsigned long long>(gossip_.own()), static_cast<unsigned long long>(gossip_.newest()));
+      static_cast<unsigned long long>(gossip_.own_revision()),
+      static_cast<unsigned long long>(gossip_.newest_revision()));
   if (event_log_)
-    event_log_->record_event("behind").with("own", gossip_.own()).with("newest", gossip_.newest());
+    event_log_->record_event("behind")
+        .with("own", gossip_.own_revision())
+        .with("newest", gossip_.newest_revision());
   hooks_.request_list();
 }
 
@@ -612,12 +622,13 @@
   const bool gossip_changed = gossip_changes_seen_ != gossip_changes_;
   gossip_changes_seen_ = gossip_changes_;
   if (!config_node_) return std::exchange(zone_limits_changed_, false) || gossip_changed;
-  const auto& acting = config_node_->acting(now());
+  const auto& acting = config_node_->active_config(now());
   if (acting == applied_rules_) return gossip_changed;
   applied_rules_ = acting;
   for (std::size_t i = 0; i < request_classes_.size(); ++i) {
-    const auto& rule = applied_rules_->rules->of(request_classes_[i]);
-    limits_[i] = {rule.served, rule.time_most, rule.held_most, rule.budget_most, rule.least_share};
+    const auto& rule = applied_rules_->rules->rule_for(request_classes_[i]);
+    limits_[i] = {rule.is_served, rule.max_duration, rule.max_in_progress, rule.max_latency_budget,
+                  rule.min_share};
   }
   if (zone_failover_) {
     update_cross_zone_budgets();
@@ -627,8 +638,8 @@
     event_log_->record_event("acts")
         .with("low", applied_rules_->low)
         .with("high", applied_rules_->high)
-        .with("ground", applied_rules_->ground)
-        .with("hash", shared_config::hash_of(shared_config::text_of(*applied_rules_->rules)));
+        .with("ground", applied_rules_->baseline)
+        .with("hash", shared_config::content_hash(shared_config::canonical_text(*applied_rules_->rules)));
   return true;
 }
 
@@ -636,23 +647,23 @@
   return limits_.at(static_cast<std::size_t>(request_class));
 }
 bool ClusterNode::may_run_two_phase(int request_class) const {
-  return applied_rules_->rules->two_phase_off.count(
+  return applied_rules_->rules->two_phase_disabled.count(
              request_classes_.at(static_cast<std::size_t>(request_class))) == 0;
 }
 bool ClusterNode::serves_index(const std::string& name) const {
-  return applied_rules_->rules->index_off.count(name) == 0;
+  return applied_rules_->rules->disabled_indices.count(name) == 0;
 }
 
 bool ClusterNode::is_withheld(const std::string& endpoint, Time started_at) const {
-  return (options_.shares_endpoint_lists && gossip_.withheld(endpoint, started_at)) ||
-         applied_rules_->rules->withheld.count(endpoint) != 0 ||
-         applied_rules_->rules->at_work.count(endpoint) != 0;
+  return (options_.shares_endpoint_lists && gossip_.is_withheld(endpoint, started_at)) ||
+         applied_rules_->rules->withheld_endpoints.count(endpoint) != 0 ||
+         applied_rules_->rules->endpoints_in_maintenance.count(endpoint) != 0;
 }
 
 void ClusterNode::list_begins(std::uint64_t revision, bool is_complete) {
   is_list_open_ = true;
   if (event_log_) event_log_->record_event("list").with("revision", revision).with("whole", is_complete);
-  gossip_.begins(revision, is_complete);
+  gossip_.begin_list(revision, is_complete);
   ++list_number_;
   is_list_complete_ = is_complete;
 }
@@ -664,17 +675,18 @@
     listed_endpoints_[endpoint] = {
         zone_failover_ ? zone_failover_->zone_name(zone_failover_->zone_number(locality)) : locality,
         ring_position, started_at, state == EndpointState::kReady, list_number_};
-  gossip_.node(endpoint, started_at, state == EndpointState::kReady, state == EndpointState::kRemoved);
+  gossip_.add_endpoint(endpoint, started_at, state == EndpointState::kReady,
+                       state == EndpointState::kRemoved);
   if (!event_log_) return;
   if (state != EndpointState::kReady) {
     event_log_->record_event("told").with("node", endpoint).with("state", name_of(state));
     recorded_unavailable_.insert(endpoint);
-  } else if (!gossip_.withheld(endpoint, started_at) && recorded_unavailable_.erase(endpoint)) {
+  } else if (!gossip_.is_withheld(endpoint, started_at) && recorded_unavailable_.erase(endpoint)) {
     event_log_->record_event("ready").with("node", endpoint);
   }
 }
 void ClusterNode::list_ends() {
-  for (const auto& endpoint : gossip_.ends()) {
+  for (const auto& endpoint : gossip_.end_list()) {
     if (event_log_) {
       event_log_->record_event("told").with("node", endpoint).with("state", "gone");
       recorded_unavailable_.insert(endpoint);
@@ -683,17 +695,18 @@
   if (is_list_complete_)
     std::erase_if(listed_endpoints_, [&](const auto& s) { return s.second.list_number != list_number_; });
   is_list_open_ = false;
-  // No hooks may run here: requests would be sent by the old list, for which the gossip no longer withholds
+  // No hooks may run here: requests would be sent by the old list, for which the
+  // gossip no longer withholds
   // any endpoint, before the new list has reached the request policy. The caller checks for changes and runs
   // the dispatcher once the list is applied.
   process_events(false);
 }
 void ClusterNode::list_reset() {
-  gossip_.anew();
+  gossip_.reset();
   listed_endpoints_.clear();
 }
 
-void ClusterNode::propose(shared_config::Entry entry, shared_config::Accord::Done done) {
+void ClusterNode::propose(shared_config::ConfigEntry entry, shared_config::SharedConfigNode::Done done) {
   if (!config_node_) return done(std::nullopt);
   config_node_->propose(now(), std::move(entry), std::move(done));
   process_events();
