--- a/src/zone_failover/cross_zone_budget.cpp
+++ b/src/zone_failover/cross_zone_budget.cpp
@@ -37,7 +37,7 @@
   if (budget.bytes_per_second == kNoBudget) return false;
   const double remaining = remaining_bytes(now, budget);
   const double expected_bytes = budget.max_bytes_out + budget.max_bytes_in;
-  // A value larger than a full budget would never cross; it may alone, from a full budget.
+  // A value larger than a full budget could otherwise never cross; it may cross alone, from a full budget.
   if (budget.attempts_in_flight == 0 && remaining >= full_bytes(budget) && remaining > 0) return false;
   if (expected_bytes == 0)
     return budget.attempts_in_flight > 0 || remaining <= 0;  // no size known yet: one attempt at a time
--- a/src/zone_failover/cross_zone_budget.h
+++ b/src/zone_failover/cross_zone_budget.h
@@ -2,11 +2,12 @@
 // bytes that cross zones. Does no I/O and reads no clock.
 //
 // The budget of a class is a token bucket of bytes: it fills at the class's rate up to a fixed time's worth,
-// and bytes in both directions are taken from it. Until the bytes of an attempt are known, it
+// and bytes in both directions are taken from it. Until the bytes of an attempt are known, the attempt
 // reserves the most that a recent attempt carried, so that many concurrent attempts do not overdraw the
-// budget. Once the budget is exhausted, the class's shard requests stay in the own zone. Shard requests
-// without a local replica cross all the same, because a response matters more than the budget; they are
-// counted separately and take nothing from it, so the budget is full again once the local replicas are back.
+// budget. Once the budget is exhausted, the class's shard requests stay in the broker's own zone. Shard
+// requests without a local replica cross all the same, because a response matters more than the budget; they
+// are counted separately and take nothing from the budget, so it is full again once the local replicas are
+// in service again.
 #pragma once
 #include <cstdint>
 #include <limits>
@@ -20,7 +21,7 @@
 
 constexpr double kNoBudget = std::numeric_limits<double>::infinity();
 
-// Of one zone and request class.
+// Traffic counters of one zone and one request class.
 struct ZoneTrafficCounters {
   std::uint64_t attempts = 0;
   std::uint64_t attempts_over_budget = 0;  // sent while the budget was exhausted
@@ -36,13 +37,13 @@
   CrossZoneBudget(Time fill_time, std::size_t request_classes)
       : fill_time_(fill_time), budgets_(request_classes) {}
 
-  // Sets the class's rate; kNoBudget removes the limit. The first budget starts full; a lower one is cut to
-  // its new maximum.
+  // Sets the class's rate; kNoBudget removes the limit. A class without a limit so far starts with a full
+  // budget; a lower rate cuts the remaining bytes to the new maximum.
   void set_limit(Time now, int request_class, double bytes_per_second);
   bool has_limits() const { return limited_classes_ > 0; }
   bool is_exhausted(Time now, int request_class) const;
 
-  // Returns whether the attempt is over budget; the caller passes this on to record_bytes() and
+  // Returns whether the attempt is over budget; the caller passes the result on to record_bytes() and
   // finish_attempt().
   bool start_attempt(Time now, int zone, int request_class);
   // `request_class` is -1 for bytes of an attempt that is no longer known.
@@ -52,11 +53,11 @@
 
   struct BudgetState {
     double bytes_per_second, remaining_bytes;
-    double expected_attempt_bytes;  // 0: no attempt carried any yet
+    double expected_attempt_bytes;  // 0: no attempt has carried bytes yet
     int attempts_in_flight;
   };
   BudgetState budget_state(Time now, int request_class) const;
-  // By zone and request class.
+  // Returns the counters by zone and request class.
   const std::map<std::pair<int, int>, ZoneTrafficCounters>& counters() const { return counters_; }
 
  private:
--- a/src/zone_failover/failover_state_machine.cpp
+++ b/src/zone_failover/failover_state_machine.cpp
@@ -82,7 +82,7 @@
     if (state_ == FailoverState::kReturning) dwell_ = std::min(2 * dwell_, options_.max_dwell);
     return move_to(now, FailoverState::kFailedOver, options_.probe_thousandths);
   }
-  // Every step back needs a good status now, not merely the absence of a bad one.
+  // Every step that returns traffic needs a good status now, not merely the absence of a bad one.
   const bool is_good = status == ZoneStatus::kGood && confirmed_status_ == ZoneStatus::kGood;
   const bool has_dwelt = is_good && now - good_since_ >= dwell_;
   switch (state_) {
@@ -117,7 +117,7 @@
       if (has_dwelt) return move_to(now, FailoverState::kReturning, options_.first_step_thousandths);
       return;
     case FailoverState::kReturning:
-      if (is_bad) {  // take the last step back
+      if (is_bad) {  // revert the last step
         dwell_ = std::min(2 * dwell_, options_.max_dwell);
         return move_to(now, FailoverState::kSpilling, std::max(kMinSpillingThousandths, local_share_ / 2));
       }
--- a/src/zone_failover/failover_state_machine.h
+++ b/src/zone_failover/failover_state_machine.h
@@ -1,13 +1,13 @@
 // Decides for one zone how much of its brokers' demand stays local, and whether other zones may send there.
-// Traffic leaves at once if it must, and comes back slowly. Does no I/O and reads no clock; tests/courses.cpp
+// Traffic leaves a bad zone at once and returns in steps. Does no I/O and reads no clock; tests/courses.cpp
 // checks every sequence of inputs.
 //
-//   local -> spilling -> local                   its brokers' demand is more than it can handle
+//   local -> spilling -> local                   its brokers' demand exceeds what it can handle
 //   any -> failed over                           its endpoints are dead
 //   any -> evacuating -> failed over             an operator's order, in steps
-//   failed over, spilling -> returning -> local  good for a dwell; in steps, as its endpoints warm up
+//   failed over, spilling -> returning -> local  good for a dwell time; in steps, as its endpoints warm up
 //
-// A returning step that makes the zone bad is taken back, and the next dwell is twice as long, so a flapping
+// A returning step that makes the zone bad is reverted, and the next dwell is twice as long, so a flapping
 // zone moves traffic at most once per dwell.
 #pragma once
 #include <string>
@@ -26,20 +26,20 @@
 };
 
 enum class FailoverState { kLocal, kSpilling, kEvacuating, kFailedOver, kReturning };
-// The name in JSON and in stored decisions: near, spilling, evacuating, away, returning.
+// Returns the name used in JSON and in stored decisions: near, spilling, evacuating, away, returning.
 const char* name_of(FailoverState state);
 enum class OperatorOrder { kNone, kEvacuate, kHold };
 
 class FailoverStateMachine {
  public:
   explicit FailoverStateMachine(const FailoverOptions& options) : options_(options) {}
-  // Continues from the last version's state, as a new leader does; all times start over.
+  // Continues from the state in the last version, as a new leader does; all times start over.
   void resume(Time now, FailoverState state, int local_share_thousandths);
 
-  // Takes the zone's present status. `sustainable_share`, of its brokers' demand, counts if the zone is
-  // overloaded or partial. `is_in_force` tells whether all brokers act on the last state and share. A
-  // returning zone gets no further step until they do: brokers that apply several steps at once would bring
-  // all its load back in one.
+  // Updates the state from the zone's present status. `sustainable_share` is the share of its brokers' demand
+  // that the zone can handle; it is used only if the zone is overloaded or partial. `is_in_force` is whether
+  // all brokers act on the last state and share. A returning zone gets no further step until they do: brokers
+  // that apply several steps at once would return its whole load in one step.
   void update(Time now, ZoneStatus status, double sustainable_share, OperatorOrder order,
               bool is_in_force = true);
 
@@ -50,7 +50,7 @@
     return state_ == FailoverState::kLocal && confirmed_status_ != ZoneStatus::kDead &&
            confirmed_status_ != ZoneStatus::kOverloaded;
   }
-  // All that later decisions depend on, as one key for the exhaustive test.
+  // Returns everything that later decisions depend on, as one key for the exhaustive test.
   std::string state_key(Time now) const;
 
  private:
--- a/src/zone_failover/traffic_split.cpp
+++ b/src/zone_failover/traffic_split.cpp
@@ -81,7 +81,7 @@
   place(false);
   // The traffic that leaves a region is limited for all its zones together; each zone moves the same fraction
   // of its remaining excess.
-  std::map<std::string, std::pair<double, double>> egress;  // by region: most that may leave, what would
+  std::map<std::string, std::pair<double, double>> egress;  // by region: limit and wanted rate, per second
   for (std::size_t z = 0; z < n; ++z) {
     auto& [limit, wanted] = egress[zones[z].region];
     limit += zones[z].max_region_egress_share * zones[z].demand_per_second;
@@ -92,8 +92,7 @@
     movable[z] = wanted > limit ? excess[z] * limit / wanted : excess[z];
   }
   place(true);
-  // The only zones open to the remaining excess may be filled by zones that have other choices. Move the flow
-  // of those zones elsewhere.
+  // The zones open to the remaining excess may be full of flow that could also go elsewhere. Move that flow.
   for (std::size_t from = 0; from < n; ++from)
     for (std::size_t to = 0; to < n && excess[from] > 0; ++to) {
       if (!is_open(from, to)) continue;
--- a/src/zone_failover/zone_failover.cpp
+++ b/src/zone_failover/zone_failover.cpp
@@ -12,11 +12,11 @@
 const std::string kRegionPrefix = "region/";  // zone names hold no slash
 // A region is partial if more than this share of its brokers' demand is unplaced.
 constexpr double kMaxUnplacedShare = 0.01;
-// A share changes by more than this beyond the relative threshold before a new version is worth it.
+// A share must change by this much beyond the relative threshold to be worth a new version.
 constexpr int kMinShareChangeThousandths = 10;
 constexpr std::size_t kMaxReasonBytes = 1000;
 
-// Whether the decision of the newest version holds the state and local share of `machine`.
+// Returns whether the decision of the newest version holds the state and local share of `machine`.
 bool holds(const std::map<std::string, FailoverDecision::Target>& targets, const std::string& name,
            const FailoverStateMachine& machine) {
   const auto it = targets.find(name);
@@ -126,7 +126,7 @@
 }
 
 void ZoneFailover::add_report(Time now, const std::string& broker, ZoneReport report) {
-  // The other broker's zone options are missing or wrong.
+  // An unknown home zone means that the other broker's zone options are missing or wrong.
   if (!zone_options_.count(report.home_zone)) return;
   evaluator_.add_report(now, broker, std::move(report));
 }
@@ -280,7 +280,7 @@
   return it == orders_.end() ? nullptr : &it->second;
 }
 
-// A region is short by the demand that its zones leave unplaced after they used each other's spare.
+// A region cannot handle the demand that its zones leave unplaced after they used each other's spare.
 void ZoneFailover::update_regions(Time now, std::vector<ZoneTraffic>& traffic, bool newest_is_in_force,
                                   const FailoverDecision& previous, FailoverDecision& decision) {
   if (regions_.empty()) return;
@@ -312,7 +312,7 @@
       health.sustainable_share = 0;
       health.reason = "all its zones are dead";
     } else if (unplaced > kMaxUnplacedShare * health.demand_per_second) {
-      // The share is of the whole demand, so it does not accumulate from one evaluation to the next.
+      // The share refers to the whole demand, so it does not accumulate from one evaluation to the next.
       health.status = ZoneStatus::kPartial;
       health.sustainable_share = 1 - unplaced / health.demand_per_second;
       health.reason = std::to_string(static_cast<int>(unplaced)) + " of " +
@@ -349,7 +349,7 @@
     ZoneLimit limit;
     limit.is_other_region = zone_options_.at(zone)->region != home_region;
     if (zone != options_.home_zone) {
-      // Before the first table, no more than the common ground is going to allow.
+      // Before the first table, a broker sends no more than the common ground is going to allow.
       const bool has_no_table = rules.zone_shares == shared_config::ZoneShares{};
       limit.max_share = (has_no_table ? options_.traffic_split.min_share_thousandths
                                       : rules.zone_shares.thousandths(options_.home_zone, zone)) /
@@ -361,7 +361,7 @@
   if (note) {
     const FailoverDecision decision = parse_decision(*note);
     const auto it = decision.zones.find(options_.home_zone);
-    // Traffic that no other zone may get stays local, even if the decision is that less should.
+    // Traffic that no other zone may get stays local, even if the decided local share is lower.
     if (it != decision.zones.end())
       limits[0].max_share = std::max(it->second.local_share_thousandths / 1000.0, 1 - max_remote_share);
   }
--- a/src/zone_failover/zone_failover.h
+++ b/src/zone_failover/zone_failover.h
@@ -1,17 +1,16 @@
 // Zone failover at one broker: it counts its own attempts by zone, reports them to the voters and limits its
-// traffic by the decision in force. The leader also decides for all: it runs the state machines of all zones
-// and proposes one table of shares as a new version of the shared configuration. Does no I/O and reads no
-// clock.
+// traffic by the decision in force. The leader also decides for all brokers: it runs the state machines of
+// all zones and proposes one table of shares as a new version of the shared configuration. Does no I/O and
+// reads no clock.
 //
 // Regions have state machines of their own, one level above the zones. The demand that the zones of a region
-// cannot handle together leaves the region once that has lasted for the region's confirmation time, and
-// returns after the region's dwell; until then no more than the minimum share crosses regions. A region is
-// judged by the demand that its zones leave unplaced.
+// cannot handle together leaves the region once the overload has lasted for the region's confirmation time,
+// and returns after the region's dwell time; until the confirmation no more than the minimum share crosses
+// regions. The status of a region depends on the demand that its zones leave unplaced.
 //
-// A broker gets two things with a version (docs/accord.md): the shares that its zone may send to each other
-// zone, a rule whose meet is the lower of two shares; and, as a note beside the rules, the share that should
-// stay local. The note forbids nothing: a broker without a table keeps its traffic local, within the common
-// ground.
+// A version (docs/accord.md) gives a broker the shares that its zone may send to each other zone, a rule
+// whose meet is the lower of two shares; and, as a note beside the rules, the share that should stay local.
+// The note forbids nothing: a broker without a table keeps its traffic local, within the common ground.
 #pragma once
 #include <map>
 #include <optional>
@@ -39,14 +38,14 @@
   ZoneHealthOptions health;
   FailoverOptions zone_failover, region_failover;
   TrafficSplitOptions traffic_split;
-  Time load_window = kSecond;  // of ZoneLoad
+  Time load_window = kSecond;  // averaging window of ZoneLoad
   Time report_interval = kSecond / 2;
-  Time increase_delay = 10 * kSecond;  // before a table is proposed that only allows more
+  Time increase_delay = 10 * kSecond;  // delay of a table that only allows more
   // Relative changes of a share that are worth a new version.
   double decrease_threshold = 0.125;
   double increase_threshold = 0.25;
   int local_queue_advantage = 8;    // batches by which a local endpoint's queue may be longer
-  double exploration_share = 0.01;  // of the shard requests, sent to other zones to learn their state
+  double exploration_share = 0.01;  // share of the shard requests sent to other zones to learn their state
 };
 
 // The state and local share of every zone and region, as the note of a version holds them.
@@ -60,7 +59,7 @@
 std::string text_of(const FailoverDecision& decision);
 FailoverDecision parse_decision(const std::string& text);  // leaves out what it cannot parse
 
-// The region's name in notes and operators' orders; an order for it is one for all its zones.
+// Returns the region's name in notes and operators' orders; an order for a region applies to all its zones.
 std::string region_key(const std::string& region);
 
 // Why a zone or region is in its state, for operators.
@@ -76,19 +75,19 @@
  public:
   ZoneFailover(const ZoneFailoverOptions& options, const std::string& broker);
 
-  // Record what this broker does; see ZoneLoad.
+  // Records the result of an attempt of this broker; see ZoneLoad.
   void record_attempt_result(Time now, const std::string& zone, EndpointId endpoint, AttemptOutcome outcome,
                              Time latency);
   void record_demand(Time now, double shard_requests, double remote_only) {
     load_.record_demand(now, shard_requests, remote_only);
   }
-  // By zone: the endpoints in service, and how many warm endpoints they are worth.
+  // Sets, by zone, the number of endpoints in service and the number of warm endpoints they are equal to.
   void set_endpoints(const std::map<std::string, std::pair<int, double>>& by_zone);
 
   Time next_report_at() const { return next_report_at_; }
-  // Returns the report for the voters if it is due. This broker's own evaluation takes it in as well.
+  // Returns the report for the voters if it is due, and adds it to this broker's own evaluation.
   std::optional<ZoneReport> make_due_report(Time now);
-  // Takes the report of another broker. Ignores it if its home zone is not configured here.
+  // Adds the report of another broker. Ignores a report whose home zone is not configured here.
   void add_report(Time now, const std::string& broker, ZoneReport report);
   void remove_broker(const std::string& broker) { evaluator_.remove_broker(broker); }
 
@@ -97,16 +96,16 @@
                                                            const shared_config::VersionHistory& versions);
   void stop_leading() { is_leading_ = false; }
 
-  // Returns the limits that this broker acts on, by zone number. `note` is that of the newest version that
-  // the broker holds a lease on, null without a lease.
+  // Returns the limits that this broker acts on, by zone number. `note` is the note of the newest version
+  // that the broker holds a lease on, null without a lease.
   std::vector<ZoneLimit> zone_limits(const shared_config::RuleSet& rules, const std::string* note) const;
   // Zones are numbered, the home zone is 0. A zone that is not configured gets the number after the last.
   int zone_number(const std::string& zone) const;
-  const std::string& zone_name(int number) const;  // empty for that number
+  const std::string& zone_name(int number) const;  // empty for the number after the last
   const ZoneFailoverOptions& options() const { return options_; }
 
-  // The last decision of this broker as the leader, the health it was based on, and why it proposed a change
-  // or none.
+  // Return the last decision of this broker as the leader, the health that the decision was based on, and the
+  // reason why the broker proposed a change or none.
   std::vector<ZoneExplanation> explain() const;
   const ZoneHealthView& health_view() const { return health_view_; }
   const std::string& reason() const { return reason_; }
@@ -116,7 +115,8 @@
     FailoverDecision decision;
     shared_config::ZoneShares shares;
   };
-  // Whether the new decision and split differ enough from the previous; sets `reason` if they do.
+  // Returns whether the new decision and split differ enough from the previous ones; sets `reason` if they
+  // do.
   bool is_worth_proposing(Time now, const Previous& previous, const FailoverDecision& decision,
                           const TrafficSplit& split, std::string& reason);
   const shared_config::ZoneOrder* order_for(const std::string& zone_or_region) const;
@@ -138,8 +138,8 @@
   Time changed_at_ = 0;
   bool is_leading_ = false;
   std::uint64_t proposals_ = 0;
-  std::uint64_t pending_base_ = 0;    // newest version when a table was proposed last
-  std::uint64_t pending_ground_ = 0;  // common ground when a lower one was proposed last
+  std::uint64_t pending_base_ = 0;    // newest version when a table was last proposed
+  std::uint64_t pending_ground_ = 0;  // common ground when a lower common ground was last proposed
   Time pending_until_ = 0;            // until then no proposal on the same base
   std::string reason_;
 };
--- a/src/zone_failover/zone_health.cpp
+++ b/src/zone_failover/zone_health.cpp
@@ -24,7 +24,7 @@
   return text;
 }
 
-// Sum of what one or several brokers report of a zone.
+// The sum of the statistics that one or several brokers report of a zone.
 struct StatsSum {
   double min_attempts;  // attempts per second from which the shares count
   double attempts = 0;
@@ -92,7 +92,8 @@
     if (now - report.received_at <= options_.max_report_age) fresh[broker] = &report;
   // A broker is faulty if it finds every zone bad and most others that see these zones find them good.
   // Without this check one broker with a broken network interface would empty a healthy zone.
-  std::map<std::string, std::pair<int, int>> verdicts;  // by zone: brokers that see it, that find it good
+  // By zone: the brokers that see it, and those of them that find it good.
+  std::map<std::string, std::pair<int, int>> verdicts;
   for (const auto& [broker, report] : fresh)
     for (const auto& [zone, stats] : report->zones)
       if (const StatsSum sum(options_.min_attempts_per_second, stats); sum.has_evidence()) {
@@ -114,7 +115,7 @@
   }
   for (const auto& broker : view.outvoted_brokers) fresh.erase(broker);
 
-  // By home zone and observed zone: the sum over the brokers at home there.
+  // The sums over the brokers of a home zone, by home zone and observed zone.
   std::map<std::pair<std::string, std::string>, StatsSum> sums;
   std::map<std::string, std::vector<double>> endpoints;
   std::map<std::string, std::vector<double>> capacities;
@@ -143,7 +144,7 @@
     health.endpoints_in_service = static_cast<int>(median(endpoints[zone]));
     health.capacity_per_second = median(capacities[zone]);
     const StatsSum* own = sum_of(zone, zone);
-    // How many zones have brokers that see this one, and that find it dead, bad, full or alive.
+    // Numbers of zones whose brokers see this zone, and whose brokers find it dead, bad, full or alive.
     int see = 0;
     int find_dead = 0;
     int find_bad = 0;
--- a/src/zone_failover/zone_health.h
+++ b/src/zone_failover/zone_health.h
@@ -1,10 +1,11 @@
-// Judges the health of each zone by comparing the reports of all brokers. Does no I/O and reads no clock.
+// Evaluates the health of each zone by comparing the reports of all brokers. Does no I/O and reads no clock.
 //
 // It distinguishes these causes of lost attempts:
 // - dead endpoints: all brokers that see the zone lose their attempts, its own brokers among them;
-// - a broken link: only the brokers across the link lose their attempts;
+// - a broken link: only the brokers on the other side of the link lose their attempts;
 // - a partial failure: the zone's own brokers lose a part of their attempts;
-// - a faulty broker: it finds every zone bad that others find good, so it is outvoted and named.
+// - a faulty broker: every zone that it sees is bad by its report and good by the reports of most others, so
+//   its report is left out and the broker is listed as outvoted.
 //
 // A zone is overloaded if it rejects attempts, exceeds its capacity or is slower than the other zones. If all
 // zones are equally slow, none of them is overloaded.
@@ -20,7 +21,7 @@
 
 struct ZoneHealthOptions {
   Time max_report_age = 3 * kSecond / 2;  // older reports are ignored
-  double min_attempts_per_second = 10;    // fewer say nothing about the shares that are lost or rejected
+  double min_attempts_per_second = 10;    // below this rate the lost and rejected shares are not used
   // Share of attempts lost from which a zone is partial, and from which it is dead.
   double partial_loss_share = 0.1;
   double dead_loss_share = 0.7;
@@ -32,10 +33,10 @@
 };
 
 enum class ZoneStatus { kUnknown, kGood, kOverloaded, kPartial, kDead };
-// The name in JSON and in reasons: unknown, good, over, partial, dead.
+// Returns the name used in JSON and in reasons: unknown, good, over, partial, dead.
 const char* name_of(ZoneStatus status);
 
-// What one broker reports; zone_report.h holds its encoding.
+// The report of one broker; zone_report.h encodes it.
 struct ZoneReport {
   std::string home_zone;
   Time received_at = 0;
@@ -44,13 +45,14 @@
   std::map<std::string, ZoneStats> zones;
 };
 
+// The health of one zone, and the sums over all reports that it was derived from.
 struct ZoneHealth {
   ZoneStatus status = ZoneStatus::kUnknown;
   double demand_per_second = 0;              // shard requests of the clients of its brokers
   double remote_only_demand_per_second = 0;  // part of the demand, without a replica in the zone
   double load_per_second = 0;                // attempts that its endpoints got from all brokers
   double capacity_per_second = 0;            // 0: not known
-  double sustainable_share = 1;              // of its brokers' demand; counts if overloaded or partial
+  double sustainable_share = 1;              // share of its brokers' demand; used if overloaded or partial
   int reporting_brokers = 0;
   int endpoints_in_service = 0;
   std::string reason;  // one line
@@ -58,7 +60,8 @@
 
 struct ZoneHealthView {
   std::map<std::string, ZoneHealth> zones;
-  // From the brokers of the first zone to the endpoints of the second.
+  // Pairs of zones between which the link is broken: brokers in the first cannot reach endpoints in the
+  // second.
   std::set<std::pair<std::string, std::string>> broken_links;
   std::vector<std::string> outvoted_brokers;
 };
--- a/src/zone_failover/zone_load.cpp
+++ b/src/zone_failover/zone_load.cpp
@@ -35,7 +35,7 @@
   ZoneCounts* counts = find_or_add(zone);
   if (!counts) return;
   // A silent endpoint shows only in late cancellations, because its attempts are cancelled once a hedge has
-  // responded. An early cancellation tells nothing.
+  // responded. An early cancellation gives no information.
   if (result == AttemptResult::kCancelled) {
     if (counts->usual_latency_seconds == 0 ||
         seconds(latency) < kLostLatencyRatio * counts->usual_latency_seconds)
@@ -76,7 +76,7 @@
 }
 
 // With the long window alone, the demand that a drain leaves without a local replica would enter the traffic
-// split step by step, and each broker would reject what the split does not yet allow.
+// split step by step, and each broker would reject the demand that the split does not yet allow.
 double ZoneLoad::remote_only_demand_per_second(Time now) const {
   const double long_share = demand_ > 0 ? remote_only_demand_ / demand_ : 0;
   const double recent_share =
--- a/src/zone_failover/zone_load.h
+++ b/src/zone_failover/zone_load.h
@@ -11,17 +11,18 @@
 
 constexpr std::size_t kMaxZones = 64;
 
-// What one broker measured of one zone. Rates count attempts per second.
+// Measurements of one zone by one broker. Rates count attempts per second.
 struct ZoneStats {
-  double attempts_per_second = 0;   // that ended, whatever the result
-  double responses_per_second = 0;  // with errors: an endpoint that returns an error is alive
-  double rejected_per_second = 0;   // because the endpoint's queue was full
+  double attempts_per_second = 0;   // attempts that ended, whatever the result
+  double responses_per_second = 0;  // includes errors: an endpoint that returns an error is alive
+  double rejected_per_second = 0;   // rejected because the endpoint's queue was full
   double lost_per_second = 0;       // connection broken, or no response
-  double mean_latency_seconds = 0;  // of the responses
-  // What the endpoints in service can handle, those in slow start by their present share; 0: not known.
+  double mean_latency_seconds = 0;  // mean over the responses
+  // Attempts that the endpoints in service can handle; those in slow start count by their present share.
+  // 0: not known.
   double capacity_per_second = 0;
   int endpoints_in_service = 0;
-  int endpoints_tried = 0;     // that were sent an attempt recently
+  int endpoints_tried = 0;     // endpoints that were sent an attempt recently
   int endpoints_down = 0;      // tried, and lost the last attempt; these get hardly any further attempts
   double load_per_second = 0;  // attempts, averaged over ten windows
 };
@@ -39,14 +40,15 @@
   // for shards without a replica in service in the home zone.
   void record_demand(Time now, double shard_requests, double remote_only);
   void set_endpoints(const std::string& zone, int endpoints_in_service, double capacity_per_second);
-  // Forgets all endpoints in service; called before set_endpoints() for each zone.
+  // Clears the endpoints in service of all zones; called before set_endpoints() for each zone.
   void clear_endpoints();
 
   std::map<std::string, ZoneStats> zone_stats(Time now) const;
   double demand_per_second(Time now) const {
     return demand_ * decay(demand_at_, now, long_window()) / seconds(long_window());
   }
-  // Demand without a local replica. Uses the share over the long or the short window, whichever is higher.
+  // Returns the demand without a local replica. Uses the share over the long or the short window, whichever
+  // is higher.
   double remote_only_demand_per_second(Time now) const;
 
  private:
