--- a/src/dispatch/backend.h
+++ b/src/dispatch/backend.h
@@ -1,5 +1,5 @@
-// Interface to the protocol that endpoints speak. A backend sends attempts and reports for each of them how
-// it ended and how much of it had been written.
+// Interface to the protocol that endpoints speak. A backend sends attempts and reports how each attempt ended
+// and how much of it had been written.
 #pragma once
 #include <functional>
 #include <string>
@@ -11,7 +11,7 @@
 
 namespace cairnhub::dispatch {
 
-// How much of an attempt had been written when it ended. Only a fully written one can have run.
+// How much of an attempt had been written when it ended. Only a fully written attempt can have run.
 enum class WriteProgress { kNotConnected, kPartlyWritten, kFullyWritten };
 
 // How an attempt ended.
@@ -20,7 +20,7 @@
   kError,
   kQueueFull,
   kConnectionLost,
-  kInvalidResponse,  // the broker closed the connection, because of what the endpoint sent on it
+  kInvalidResponse,  // the endpoint sent invalid data, so the broker closed the connection
   kTimedOut,
   kCancelled,
 };
@@ -36,17 +36,17 @@
 class Backend {
  public:
   virtual ~Backend() = default;
-  // Sets the function that is told of the bytes exchanged with endpoints. Without one, bytes aren't counted.
+  // Sets the function called with the bytes exchanged with endpoints. Without it, bytes aren't counted.
   using ByteCounter = std::function<void(const TransferredBytes&)>;
   virtual void set_byte_counter(ByteCounter counter) { byte_counter_ = std::move(counter); }
   // Sets the function called before attempts that waited for a connection are written. A process that was
-  // suspended finds its connections still up when it resumes, and would otherwise send what it may not send
-  // any more.
+  // suspended finds its connections still up when it resumes, and would otherwise write attempts that are no
+  // longer allowed.
   virtual void set_before_write(std::function<void()> before_write) {
     before_write_ = std::move(before_write);
   }
-  // Closes the connections to the endpoint that carry nothing, and discards what the kernel has still queued
-  // on them.
+  // Closes the idle connections to the endpoint, and discards the bytes that the kernel has still queued on
+  // them.
   virtual void close_idle_connections(EndpointId id) = 0;
   // Called exactly once for each attempt; it may only record the result.
   using AttemptEnded = std::function<void(Attempt&, const AttemptResult&)>;
@@ -54,12 +54,13 @@
   // Adds an endpoint, or updates it as the endpoint list states. @param name for the log
   virtual void update_endpoint(EndpointId id, const std::string& name, const Address& address,
                                EndpointState state) = 0;
-  virtual void forget_endpoint(EndpointId id) = 0;  // one without attempts in flight
+  // Removes the endpoint, which must have no attempts in flight.
+  virtual void forget_endpoint(EndpointId id) = 0;
   // Queues the attempt for the next flush(). It must live until its end is reported.
   virtual void send(Attempt& attempt, EndpointId to) = 0;
-  virtual void cancel(Attempt& attempt) = 0;            // does nothing where it has ended
-  virtual void cancel_unwritten(Attempt& attempt) = 0;  // cancels it unless its writing has begun
-  virtual void flush() = 0;                             // writes what was sent in this turn
+  virtual void cancel(Attempt& attempt) = 0;            // does nothing if the attempt has ended
+  virtual void cancel_unwritten(Attempt& attempt) = 0;  // cancels the attempt unless its writing has begun
+  virtual void flush() = 0;                             // writes the attempts queued in this turn
 
  protected:
   ByteCounter byte_counter_;
--- a/src/dispatch/config.h
+++ b/src/dispatch/config.h
@@ -13,7 +13,7 @@
   std::string discovery_address;
   std::uint64_t seed = 0;
   std::size_t memory_bytes = 0;     // hard limit of the process
-  std::size_t max_descriptors = 0;  // likewise
+  std::size_t max_descriptors = 0;  // hard limit of the process
   std::string known_endpoints;      // the endpoint list as last known, JSON; may be empty
   settings::Settings settings;
 };
--- a/src/dispatch/discovery_watch.cpp
+++ b/src/dispatch/discovery_watch.cpp
@@ -15,17 +15,17 @@
 namespace {
 
 constexpr Time kMs = kSecond / 1000;
-// A watch counts as continued where the next request comes within 200 ms; the first retry stays within that.
+// A watch counts as continued if the next request comes within 200 ms; the first retry must be sooner.
 constexpr Time kFirstRetryDelay = 50 * kMs;
 constexpr const char* kRefused = "refused with an HTTP status other than 200";
 
 }  // namespace
 
-// The broker must act on a change within 6 s of the agent having it, even where requests fail in between. An
-// unanswered request takes 2.1 s to be noticed, and each further one 1.6 s, so that two in a row may fail
-// within that time. When the agent returns, its list counts at once, and drains must be obeyed within about
-// 0.25 s. An agent that was unreachable answers on its return the requests that still wait, and no others; so
-// a request that follows a failed one waits for nearly all of its time, and the next follows at once.
+// The broker must act on a change within 6 s of the agent having it, even if requests fail in between. An
+// unanswered request is noticed after 2.1 s, and each further one after 1.6 s, so that two in a row may fail
+// within the 6 s. When an unreachable agent is reachable again, its list counts at once, and drains must be
+// obeyed within about 0.25 s. Such an agent answers only the requests that still wait at that moment; so a
+// request that follows a failed request waits for nearly all of its time, and the next follows at once.
 DiscoveryWatchTiming DiscoveryWatchTiming::pushed() {
   return {.min_wait = 1400 * kMs,
           .max_wait = 1400 * kMs,
@@ -36,12 +36,12 @@
           .max_retry_delay = 50 * kMs};
 }
 
-// The broker counts as informed of a change that an unanswered request misses 6 s after the service fell
-// silent, or 2 s after the request's wait, whichever is later: the request is abandoned at least 1 s before
-// that. Requests at the rate of pushed() overload the service, so that none is answered in time and each is
-// abandoned and repeated. Where all brokers ask at the same moment, after a change or an outage that reached
-// all of them, some are refused until it is too late; so the waits differ, and a request that follows a
-// failed one is of the kind that costs the service least.
+// If a request misses a change because the service does not answer, the broker counts as informed of the
+// change 6 s after the service stopped answering, or 2 s after the request's wait, whichever is later: the
+// request is abandoned at least 1 s before that. Requests at the rate of pushed() overload the service, so
+// that none is answered in time and each is abandoned and repeated. If all brokers ask at the same moment,
+// after a change or an outage that affected all of them, some are refused until it is too late; so the waits
+// differ, and a request that follows a failed request is of the kind that costs the service least.
 DiscoveryWatchTiming DiscoveryWatchTiming::polled() {
   return {.min_wait = 3000 * kMs,
           .max_wait = 5000 * kMs,
@@ -86,8 +86,8 @@
   refresh();
 }
 
-// An open request to an agent that has fallen silent would hold up the refresh until its deadline, so it is
-// abandoned.
+// An open request to an agent that no longer answers would delay the refresh until the request's deadline, so
+// the request is abandoned.
 void DiscoveryWatch::refresh() {
   stop();
   needs_complete_list_ = true;
@@ -104,8 +104,8 @@
 }
 
 void DiscoveryWatch::request_list() {
-  // The connection of a failed request may still bring its answer, which would be taken for the answer to
-  // this one.
+  // The answer to a failed request may still arrive on its connection, and would be taken for the answer to
+  // the new request.
   if (retry_delay_ > 0) stop();
   if (!connection_) {
     connection_ = evhttp_connection_base_bufferevent_new(base_, nullptr, nullptr, host_.c_str(), port_);
@@ -132,7 +132,7 @@
   deadline_.start(is_for_complete_list ? timing_.complete_list_timeout
                   : has_failed         ? wait + timing_.answer_timeout_after_failure
                                        : wait + timing_.answer_timeout);
-  // evhttp_make_request() frees the request where it fails.
+  // evhttp_make_request() frees the request if it fails.
   if (evhttp_make_request(connection_, request, EVHTTP_REQ_GET, path.c_str()) != 0) {
     return on_failure("the request can't be made");
   }
@@ -157,14 +157,14 @@
   }
   needs_complete_list_ = false;
   last_request_ = LastRequest::kAnswered;
-  // An agent that answers at once with nothing new must not be asked in a busy loop.
+  // An agent that answers at once without changes must not be polled in a busy loop.
   const bool is_early = registry_.revision() == revision && now() - requested_at_ < kFirstRetryDelay;
   retry_delay_ = 0;
   next_request_.start(is_early ? kFirstRetryDelay : 0);  // not from within libevent's callback
   on_update_(true);
 }
 
-// Closes the connection: what it may still bring belongs to an abandoned request.
+// Closes the connection, because an answer that still arrives on it belongs to an abandoned request.
 void DiscoveryWatch::on_deadline() {
   stop();
   on_failure("not answered in time");
--- a/src/dispatch/discovery_watch.h
+++ b/src/dispatch/discovery_watch.h
@@ -1,6 +1,6 @@
 // Keeps the endpoint list current by long polling the discovery agent: one HTTP request after another, each
-// of which waits for changes newer than the current list. A request that fails or isn't answered in time is
-// followed by another one on a new connection.
+// of which waits for changes newer than the current list. After a request that fails or isn't answered in
+// time, the next request uses a new connection.
 #pragma once
 #include <event2/event.h>
 
@@ -17,40 +17,41 @@
 
 namespace cairnhub::dispatch {
 
-// How long requests wait for changes, and how soon one is abandoned or repeated.
+// How long requests wait for changes, and how soon a request is abandoned or repeated.
 struct DiscoveryWatchTiming {
-  // The wait that a request states, drawn anew for each.
+  // Bounds of the wait that a request states; the wait is drawn anew for each request.
   Time min_wait;
   Time max_wait;
   Time answer_timeout;  // on top of the wait
-  // The same for a request that follows a failed one.
+  // Wait and answer timeout of a request that follows a failed request.
   Time wait_after_failure;
   Time answer_timeout_after_failure;
-  Time complete_list_timeout;  // of a request for the complete list, which doesn't wait
-  Time max_retry_delay;        // between failed requests
+  Time complete_list_timeout;  // timeout of a request for the complete list, which doesn't wait
+  Time max_retry_delay;        // longest delay between failed requests
 
-  // For an agent of this broker's own: requests cost nothing and are answered at once.
+  // Returns the timing for an agent of this broker's own: requests cost nothing and are answered at once.
   static DiscoveryWatchTiming pushed();
-  // For one service that answers all brokers: it expects a request from each of them every few seconds, and
-  // refuses more.
+  // Returns the timing for one service that answers all brokers: it expects a request from each broker every
+  // few seconds, and refuses more.
   static DiscoveryWatchTiming polled();
 };
 
 // Polls the agent and applies its answers to the registry.
 class DiscoveryWatch {
  public:
-  // @param max_list_bytes of an answer
+  // @param max_list_bytes longer answers are rejected
   // @param on_update called after each request has ended, with whether the list was updated
-  // @throws std::runtime_error where the address is invalid
+  // @throws std::runtime_error if the address is invalid
   DiscoveryWatch(event_base* base, const std::string& discovery_address, DiscoveryWatchTiming timing,
                  std::uint64_t seed, std::size_t max_list_bytes, EndpointRegistry& registry,
                  std::function<void(bool)> on_update);
   ~DiscoveryWatch();
   // Starts the polling.
   void request_list();
-  // Follows another agent from now on, and requests its complete list first.
+  // Polls another agent from now on, and requests its complete list first.
   void set_address(const std::string& discovery_address);
-  // Requests the complete list at once, on a new connection: the current one is known to be out of date.
+  // Requests the complete list at once, on a new connection, because the current list is known to be out of
+  // date.
   void refresh();
   // Stops the polling and closes the connection.
   void stop();
@@ -62,13 +63,13 @@
   void on_answer(evhttp_request* request);
   void on_deadline();
   void on_failure(const char* reason, LastRequest result = LastRequest::kFailed);
-  const char* apply_answer(evhttp_request* request);  // returns its fault, or null
+  const char* apply_answer(evhttp_request* request);  // returns what is wrong with the answer, or null
 
   event_base* base_;
   const DiscoveryWatchTiming timing_;
   std::string host_;
   std::uint16_t port_ = 0;
-  bool needs_complete_list_ = false;  // since set_address() or refresh(), until an answer comes
+  bool needs_complete_list_ = false;  // from set_address() or refresh() until an answer arrives
   LastRequest last_request_ = LastRequest::kAnswered;
   std::mt19937 random_;
   const std::size_t max_list_bytes_;
--- a/src/dispatch/endpoint_registry.cpp
+++ b/src/dispatch/endpoint_registry.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-// JSON values in one list. An entry has about ten, and this is ten times what the largest deployments have.
+// Maximum of JSON values in one list. An entry has about ten, and the largest deployments have a tenth of
+// this.
 constexpr int kMaxValues = 200000;
 constexpr std::uint64_t kMaxRingPosition = 65535;
 constexpr double kMaxUpSinceMs = 9e12;  // fits Time in nanoseconds
@@ -41,9 +42,9 @@
   int count_ = 0;
 };
 
-// A malformed list of little more than brackets takes many times its length in memory once it is parsed, for
-// which the process would be killed. A value takes at least one byte of text, so that ordinary lists, which
-// are shorter than the limit, are parsed only once.
+// A malformed list of little more than brackets takes many times its length in memory once it is parsed, and
+// the process would be killed for exceeding its memory limit. A value takes at least one byte of text, so
+// that ordinary lists, which have fewer bytes than the limit has values, are parsed only once.
 bool has_too_many_values(std::string_view text) {
   if (text.size() <= kMaxValues) return false;
   ValueCounter counter;
@@ -146,13 +147,14 @@
       }
     }
   }
-  // Once a list is as new as the one that an endpoint was withheld for, the endpoint is released, even where
+  // Once a list is as new as the list that an endpoint was withheld for, the endpoint is released, even if
   // the list doesn't name it.
   if (cluster_) update_withheld();
   return nullptr;
 }
 
-// Reports the endpoint to the policy and the listener; a ready one that is withheld, as draining.
+// Reports the endpoint to the policy and the listener. A ready endpoint that is withheld is reported as
+// draining.
 void EndpointRegistry::report(Endpoint& endpoint) {
   Entry entry = endpoint.entry;
   if (endpoint.is_withheld && entry.state == EndpointState::kReady) entry.state = EndpointState::kDraining;
@@ -162,8 +164,8 @@
   } else {
     zones_.erase(endpoint.id);
   }
-  // An endpoint without a known zone counts as near as any. Its number is past the last zone's, so that its
-  // results aren't taken for those of this broker's zone.
+  // An endpoint without a known zone counts as local. Its zone number is the one after the last zone, so that
+  // its results aren't counted for this broker's zone.
   const bool is_zone_known = cluster_ && zone < static_cast<int>(cluster_->zones().size());
   policy_.list_endpoint(endpoint.id, entry.state, entry.started_at, entry.ring_position,
                         is_zone_known ? zone : 0);
--- a/src/dispatch/endpoint_registry.h
+++ b/src/dispatch/endpoint_registry.h
@@ -1,5 +1,5 @@
-// The endpoint list: reads it as the discovery agent sends it, gives each endpoint the broker's own id, and
-// passes on what the list says of it.
+// The endpoint list: parses the lists that the discovery agent sends, assigns each endpoint an id of the
+// broker's own, and passes on the endpoints' entries.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -29,29 +29,29 @@
     int ring_position;
   };
   using EndpointUpdated = std::function<void(EndpointId, const Entry&)>;
-  // @param policy  told of the whole list
-  // @param updated told of each entry that is added or may have changed
+  // @param policy  gets every entry of each list
+  // @param updated called with each entry that is added or may have changed
   EndpointRegistry(RequestPolicy& policy, EndpointUpdated updated)
       : policy_(policy), updated_(std::move(updated)) {}
 
-  // Applies a complete list, or changes to the list. Applies nothing of a malformed one.
-  // @return its fault, or null
+  // Applies a complete list, or changes to the list. Applies nothing of a malformed list.
+  // @return what is wrong with the list, or null
   const char* apply_list(std::string_view json);
-  // From now on, endpoints are withheld as the cluster has agreed, and lists older than one that the cluster
-  // acts on are refused.
+  // From now on, endpoints are withheld as the cluster has agreed, and lists older than a list that the
+  // cluster acts on are refused.
   void set_cluster_control(ClusterControl& cluster) { cluster_ = &cluster; }
   // Updates the endpoints that the cluster has begun or ceased to withhold. Needs set_cluster_control().
   void update_withheld();
-  // The lists come from another agent from now on, whose revisions start anew.
+  // Accepts lists of any revision again: they come from another agent, whose revisions start anew.
   void reset_revision() {
     revision_ = 0;
     if (cluster_) cluster_->list_reset();
   }
-  void forget(EndpointId id);                       // should the endpoint come back, it gets another id
-  int zone_of(EndpointId id) const;                 // 0 where the endpoint or its zone is unknown
-  std::string name_of(EndpointId id) const;         // empty where the endpoint is unknown
-  EndpointId id_of(const std::string& name) const;  // 0 where the endpoint is unknown
-  // Names of the endpoints in service at the ring position.
+  void forget(EndpointId id);                       // an endpoint that is listed again gets another id
+  int zone_of(EndpointId id) const;                 // 0 if the endpoint or its zone is unknown
+  std::string name_of(EndpointId id) const;         // empty if the endpoint is unknown
+  EndpointId id_of(const std::string& name) const;  // 0 if the endpoint is unknown
+  // Returns the names of the endpoints in service at the ring position.
   std::vector<std::string> ready_at(int ring_position) const;
   int ready_count() const;  // endpoints in service
   bool has_list() const { return has_list_; }
@@ -61,7 +61,7 @@
   struct Endpoint {
     EndpointId id = 0;
     Entry entry;
-    std::uint64_t last_list = 0;  // number of the last list that named it
+    std::uint64_t last_list = 0;  // number of the last list that named the endpoint
     bool is_withheld = false;
   };
   void report(Endpoint& endpoint);
@@ -70,7 +70,7 @@
   EndpointUpdated updated_;
   ClusterControl* cluster_ = nullptr;
   std::map<std::string, Endpoint> endpoints_;  // by name
-  std::unordered_map<EndpointId, int> zones_;  // of endpoints outside zone 0; must not be iterated over
+  std::unordered_map<EndpointId, int> zones_;  // zones of endpoints outside zone 0; must not be iterated over
   EndpointId last_id_ = 0;
   bool has_list_ = false;
   std::uint64_t revision_ = 0;
--- a/src/dispatch/in_flight_requests.cpp
+++ b/src/dispatch/in_flight_requests.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Memory of a shard request beside its bytes, with its attempts and its state in the policy; a request takes
-// as much again.
+// Memory of a shard request in addition to its body and value, with its attempts and its state in the policy;
+// a request takes the same amount once more.
 constexpr std::size_t kShardRequestBytes = 2048;
 
 AttemptOutcome outcome_of(const AttemptResult& result) {
@@ -68,7 +68,7 @@
   Request& request = *shard_request.request;
   AttemptOutcome outcome = outcome_of(result);
   if (outcome == AttemptOutcome::kOk && request.callbacks && !shard_request.value) {
-    // Values must not grow without bound. One that doesn't fit into any response counts as an error.
+    // Values must not grow without bound. A value that doesn't fit into any response counts as an error.
     const std::size_t size = result.value.size();
     const bool fits =
         request.value_bytes + size <= request.max_value_bytes && memory_bytes_ + size <= max_memory_bytes_;
--- a/src/dispatch/request.h
+++ b/src/dispatch/request.h
@@ -27,19 +27,19 @@
 };
 
 // Callbacks by which a frontend handles the values of a request and its end. One of on_response, on_rejected
-// and on_failed is called, once; none where the client abandons the request.
+// and on_failed is called, once; none is called if the client abandons the request.
 class RequestCallbacks {
  public:
   virtual ~RequestCallbacks() = default;
   enum class ValueUse {
     kKeep,     // the value is kept with its shard request
-    kTaken,    // the callback has taken what it needs
+    kTaken,    // the callback has copied the parts of the value that it needs
     kInvalid,  // the attempt counts as failed; it may have run
   };
-  // Takes the value that an endpoint returned. May only record it.
+  // Called with the value that an endpoint returned. May only record the value.
   virtual ValueUse on_value(const ShardRequest&, std::string_view) { return ValueUse::kKeep; }
   virtual void on_response(const Request& request, bool is_complete) = 0;
-  // A retry is harmless. @param retry_after 0: no advice
+  // The request has had no effect, so a retry is harmless. @param retry_after 0: no advice
   virtual void on_rejected(const Request& request, Time retry_after) = 0;
   virtual void on_failed(const Request& request) = 0;  // the request may have taken effect
 };
@@ -52,10 +52,10 @@
   Time sent_at = 0;
   Time expires_at = 0;
   Time ended_at = 0;
-  Time begins_by = kNever;  // its writing must not begin later
+  Time begins_by = kNever;  // latest time at which writing it may begin
   bool has_ended = false;
-  TrafficAccount account;                        // set where bytes are counted
-  AttemptOutcome outcome = AttemptOutcome::kOk;  // once it has ended
+  TrafficAccount account;                        // set only if bytes are counted
+  AttemptOutcome outcome = AttemptOutcome::kOk;  // valid once has_ended is true
 };
 
 // The part of a request that goes to one shard.
@@ -64,14 +64,14 @@
   Request* request = nullptr;
   int shard = 0;
   double weight = 0;
-  std::string name;                 // by which endpoints know it
+  std::string name;                 // name sent to endpoints
   std::optional<std::string> body;  // none: the body of the request
-  std::string http_target;          // of the HTTP request; framed backends put it in front of the body
+  std::string http_target;          // target of the HTTP request; framed backends put it before the body
   std::optional<std::string> value;
   std::vector<std::unique_ptr<Attempt>> attempts;
 };
 
-// A request as a frontend has read it, and what is known of it since.
+// A request as a frontend has read it, with its state since then.
 struct Request {
   RequestId id = 0;
   std::string name;
--- a/src/dispatch/request_dispatcher.cpp
+++ b/src/dispatch/request_dispatcher.cpp
@@ -11,7 +11,7 @@
 // No attempt may begin later than 100 ms after its client has gone.
 constexpr Time kDepartureCheckInterval = 50 * kSecond / 1000;
 
-// Sets a flag for its own lifetime. An exception that left the flag set would block every later turn.
+// Sets a flag until the end of the scope. An exception that left the flag set would block every later turn.
 class ScopedFlag {
  public:
   explicit ScopedFlag(bool& flag) : flag_(flag) { flag_ = true; }
@@ -88,7 +88,7 @@
     }
     request.time_left = std::min(request.time_left, limits.max_time);
   }
-  // Links the request to its shard requests in the policy's inputs; small enough for a float to hold exactly.
+  // Links the request to its shard requests in the policy's inputs; a float holds numbers below 2^24 exactly.
   const float number = static_cast<float>(++arrival_count_ % (1 << 24));
   const Time arrived_at = now();
   request.arrived_at = arrived_at;
@@ -112,7 +112,7 @@
   run_actions();
 }
 
-// Cancels the attempts that still wait for a connection, also where the policy may not cancel: none may be
+// Cancels the attempts that still wait for a connection, even if the policy may not cancel: no attempt may be
 // sent after the response.
 void RequestDispatcher::end_request(Request& request) {
   if (cluster_) class_limiter_.release(base_class(request.request_class));
@@ -122,9 +122,9 @@
   requests_.close(request);
 }
 
-// Each turn runs the wake-ups that are due, because it restarts the timer, and libevent then drops a callback
-// that was due already. With something to read in every turn of the event loop the timer would never fire,
-// and requests would stay unanswered past their deadline.
+// Runs the wake-ups that are due in each turn, because each turn restarts the timer, and libevent then drops
+// a callback that was due already. With something to read in every turn of the event loop the timer would
+// never fire, and requests would stay unanswered past their deadline.
 void RequestDispatcher::run_due_wake_ups() {
   while (!wake_ups_.empty() && wake_ups_.begin()->first <= now()) {
     policy_.woken(wake_ups_.begin()->second);
@@ -132,8 +132,8 @@
   }
 }
 
-// After the process was suspended, an event that leads to an attempt (a response, a timer, a connection that
-// came up) may be handled before the end of a client's connection, which comes later in the same turn of the
+// After the process was suspended, an event that leads to an attempt (a response, a timer, a new connection)
+// may be handled before the end of a client's connection, which is handled later in the same turn of the
 // event loop.
 void RequestDispatcher::check_departures() {
   if (is_running_ || !departure_check_ || now() - departures_checked_at_ < kDepartureCheckInterval) return;
--- a/src/dispatch/request_dispatcher.h
+++ b/src/dispatch/request_dispatcher.h
@@ -1,5 +1,5 @@
-// Connects the policy to the rest of the broker: reports to it what happens, and carries out the actions that
-// it returns. Makes no choices of its own.
+// Connects the policy to the rest of the broker: reports events to the policy, and carries out the actions
+// that the policy returns. Makes no choices of its own.
 #pragma once
 #include <map>
 
@@ -14,9 +14,9 @@
 // Carries requests from their arrival to their end.
 class RequestDispatcher {
  public:
-  // @param endpoint_forgotten told of each endpoint that the policy has forgotten
-  // @param follow_up          called at the end of each turn to carry on what waits for ended requests;
-  //                           returns whether there was anything
+  // @param endpoint_forgotten called with each endpoint that the policy has forgotten
+  // @param follow_up          called at the end of each turn to continue work that waits for ended requests;
+  //                           returns whether there was any
   // @param endpoint_names     names of endpoints for the request trace
   RequestDispatcher(event_base* base, RequestPolicy& policy, InFlightRequests& requests, Backend& backend,
                     std::function<void(EndpointId)> endpoint_forgotten, std::function<bool()> follow_up,
@@ -30,26 +30,26 @@
     std::function<void(Attempt&)> record_attempt;  // called before an attempt is sent
     Time retry_after = 0;  // told to clients whose requests a class limit rejects; 0: no advice
   };
-  // From now on the rules of the cluster are refreshed before anything is decided.
+  // From now on the rules of the cluster are refreshed before each decision.
   void set_cluster_control(ClusterControl& cluster, ClusterHooks hooks);
-  // Counts requests of a class as requests of its base class: the rounds of a two-phase query.
+  // Counts the requests of a class, which are rounds of two-phase queries, as requests of its base class.
   void add_derived_class(int request_class, int base_class);
-  int base_class(int request_class) const;  // the class itself where it isn't derived
-  // The limits of the request class at present; none apply where there is no cluster.
+  int base_class(int request_class) const;  // the class itself if it isn't derived
+  // Returns the present limits of the request class; without a cluster there are none.
   const RequestClassLimits& limits(int request_class);
   bool may_run_two_phase(int request_class);
   bool serves_index(const std::string& name);
 
-  // Applies the rules of the cluster where they have changed. Does nothing where there is no cluster.
+  // Applies the rules of the cluster if they have changed. Does nothing without a cluster.
   void refresh_cluster_rules();
-  // Calls the departure check unless it ran within the last 50 ms. Call it before anything is decided or
-  // sent.
+  // Calls the departure check unless it ran within the last 50 ms. Must be called before each decision and
+  // each attempt.
   void check_departures();
   // Sets the function that abandons the requests whose clients have gone.
   void set_departure_check(std::function<void()> departure_check) {
     departure_check_ = std::move(departure_check);
   }
-  // Reports the request to the policy and carries out what follows. @return its id
+  // Reports the request to the policy and carries out the actions that follow. @return the request's id
   RequestId start_request(std::unique_ptr<Request> request);
   void abandon_request(RequestId id);  // its client has gone
   // Carries out the policy's actions until there are none left.
@@ -66,13 +66,13 @@
   Backend& backend_;
   std::function<void(EndpointId)> endpoint_forgotten_;
   std::function<bool()> follow_up_;
-  std::multimap<Time, std::uint64_t> wake_ups_;  // tokens of the policy by the time when they are due
+  std::multimap<Time, std::uint64_t> wake_ups_;  // tokens of the policy, by due time
   Timer wake_timer_;
   RequestTrace trace_;
   ClusterControl* cluster_ = nullptr;
   ClusterHooks hooks_;
   std::map<int, int> base_classes_;    // by derived class
-  RequestClassLimiter class_limiter_;  // used where there is a cluster
+  RequestClassLimiter class_limiter_;  // used only with a cluster
   std::function<void()> departure_check_;
   Time departures_checked_at_ = 0;
   bool is_running_ = false;
--- a/src/dispatch/request_trace.cpp
+++ b/src/dispatch/request_trace.cpp
@@ -50,7 +50,7 @@
 std::string format_trace_line(const Request& request, const char* result, Time retry_after, Time ended_at,
                               const RequestTrace::EndpointNames& endpoint_names) {
   std::string line = "multiget ";
-  for (const char c : request.name) line += c < ' ' && c >= 0 ? '?' : c;  // the client's bytes
+  for (const char c : request.name) line += c < ' ' && c >= 0 ? '?' : c;  // bytes chosen by the client
   line += " (op type " + std::to_string(request.request_class) + ", " +
           (request.is_client_retry ? "a later try" : "a first try") + ", " + milliseconds(request.time_left) +
           " left, " + std::to_string(request.shard_requests.size()) + " parts): " + result;
--- a/src/dispatch/two_phase_runner.cpp
+++ b/src/dispatch/two_phase_runner.cpp
@@ -7,7 +7,7 @@
 
 namespace cairnhub::dispatch {
 
-// A request class with two phases, and the classes under which the policy knows its rounds.
+// The state of a request class that allows two-phase queries, with the request classes of its rounds.
 struct TwoPhaseRunner::ClassState {
   two_phase::Planner planner;
   int match_class;
@@ -57,7 +57,8 @@
   }
   void on_failed(const Request& request) override { end_round(request, two_phase::RoundEnd::failed, 0); }
 
-  // Tells the plan which blocks a match round was sent to: shard requests that weren't drawn stay unsent.
+  // Reports to the plan which blocks a match round was sent to: shard requests that weren't drawn stay
+  // unsent.
   static void report_sent(RunningQuery& running, int round_index, const Request& request) {
     const two_phase::Round& round = running.plan.round(round_index);
     if (round.kind != two_phase::RoundKind::match) return;
@@ -110,9 +111,9 @@
     dispatcher_.add_derived_class(class_count_, request_class);
     return class_count_++;
   };
-  state.match_class = add_round_class(round_class);  // Rounds of one block each: a response is complete with
-                                                     // that block, and the plan judges the query as a
-  // whole.
+  state.match_class = add_round_class(round_class);
+  // Rematch and fetch rounds have one block each: a response is complete with that block, and the plan
+  // decides whether the query is complete.
   round_class.required_share = 1;
   round_class.min_response_share = 1;
   state.rematch_class = add_round_class(round_class);
@@ -217,7 +218,8 @@
   dispatcher_.start_request(std::move(request));
 }
 
-// Ends the rounds still open in the same turn as the response: none of their attempts may be sent after it.
+// Ends the open rounds in the same turn as the response: none of their attempts may be sent after the
+// response.
 void TwoPhaseRunner::finish(RunningQuery& running, const two_phase::Decision& decision) {
   for (std::size_t i = 0; i < running.round_requests.size(); ++i) {
     if (running.round_requests[i]) {
--- a/src/dispatch/two_phase_runner.h
+++ b/src/dispatch/two_phase_runner.h
@@ -1,6 +1,5 @@
-// Runs two-phase queries: carries out what their plans (two_phase/query_plan.h) ask for, each round as a
-// request of its own through the dispatcher and the policy, and reports the results to the plans. Makes no
-// choices of its own.
+// Runs two-phase queries: sends each round of their plans (two_phase/query_plan.h) as a request of its own
+// through the dispatcher and the policy, and reports the results to the plans. Makes no choices of its own.
 #pragma once
 #include <deque>
 #include <functional>
@@ -17,21 +16,21 @@
 
 namespace cairnhub::dispatch {
 
-// Callbacks by which a frontend handles the end of a two-phase query. One of them is called, once; none where
-// the client abandons the query.
+// Callbacks by which a frontend handles the end of a two-phase query. One of them is called, once; none is
+// called if the client abandons the query.
 class TwoPhaseCallbacks {
  public:
   virtual ~TwoPhaseCallbacks() = default;
   virtual void on_response(const two_phase::Plan& plan, bool is_complete) = 0;
-  // A retry is harmless. @param retry_after 0: no advice
+  // The query has had no effect, so a retry is harmless. @param retry_after 0: no advice
   virtual void on_rejected(Time retry_after) = 0;
 };
 
 // Runs the two-phase queries in progress.
 class TwoPhaseRunner {
  public:
-  // @param class_count how many classes the settings have added to the policy; those of rounds come after
-  // them
+  // @param class_count number of classes that the settings have added to the policy; the classes of rounds
+  //                    are numbered after these
   TwoPhaseRunner(event_base* base, RequestPolicy& policy, InFlightRequests& requests,
                  RequestDispatcher& dispatcher, int class_count);
   ~TwoPhaseRunner();
@@ -44,15 +43,15 @@
   bool is_allowed(int request_class) const {
     return classes_.count(request_class) != 0 && dispatcher_.may_run_two_phase(request_class);
   }
-  int class_count() const { return class_count_; }  // of the policy, those of rounds included
-  // Whether a query of the name awaits its response.
+  int class_count() const { return class_count_; }  // all classes of the policy, rounds included
+  // Returns whether a query of the name awaits its response.
   bool contains(const std::string& name) const { return names_.count(name) != 0; }
 
-  // @return what to call should the client leave
+  // Starts a query. @return a function to call if the client abandons the query
   std::function<void()> start(const std::string& name, int request_class, bool is_client_retry,
                               two_phase::Query query, std::unique_ptr<TwoPhaseCallbacks> callbacks);
-  // Carries on the plans that have had input. Call it at the end of each turn.
-  // @return whether there were any
+  // Advances the plans that have had input. Must be called at the end of each turn.
+  // @return whether any plan had input
   bool advance_plans();
 
  private:
@@ -73,7 +72,7 @@
   RequestPolicy& policy_;
   InFlightRequests& requests_;
   RequestDispatcher& dispatcher_;
-  int class_count_;  // of the policy, those added here included
+  int class_count_;  // classes of the policy, including those added here
   std::map<int, std::unique_ptr<ClassState>> classes_;
   std::map<QueryId, std::unique_ptr<RunningQuery>> running_;
   std::set<std::string> names_;
