--- a/src/server/broker.cpp
+++ b/src/server/broker.cpp
@@ -25,16 +25,16 @@
 // An idle connection to an endpoint is closed after this share of the time after which the endpoint would
 // close it.
 constexpr double kIdleTimeShare = 0.75;
-// Reserved for the event loop, the log, the discovery watch and the listener, with some to spare.
+// Descriptors reserved for the event loop, the log, the discovery watch and the listener, with some to spare.
 constexpr std::size_t kReservedDescriptors = 24;
-// One in this many of the other descriptors is for endpoints.
+// Divides the other descriptors; the quotient is the number for connections to endpoints.
 constexpr std::size_t kEndpointDescriptorDivisor = 4;
-// One in this many of all descriptors may be held by idle clients.
+// Divides all descriptors; idle clients may hold the quotient.
 constexpr std::size_t kIdleClientDivisor = 8;
-// One byte in this many of the memory may be taken by requests that aren't complete yet.
+// Divides the memory limit; requests that have not been read completely may take the quotient.
 constexpr std::size_t kIncompleteRequestDivisor = 8;
-// Limits the text of a discovery answer, also as a fraction of the memory: parsed, it takes several times as
-// much.
+// Limits the text of a discovery answer. A fraction of the memory limits it too, because the parsed answer
+// takes several times as much memory as the text.
 constexpr std::size_t kMaxListBytes = std::size_t{4} << 20;
 constexpr std::size_t kListMemoryDivisor = 32;
 
@@ -55,14 +55,14 @@
           options.max_search_body_bytes, limits.idle_timeout};
 }
 
-// Where the list must be subscribed to, one service answers all brokers, and each request loads it.
+// If the list must be subscribed to, one service answers all brokers, and each request adds to its load.
 dispatch::DiscoveryWatchTiming watch_timing(const settings::Settings& settings) {
   return settings.text("registry-mode", "automatic") == "subscribe"
              ? dispatch::DiscoveryWatchTiming::polled()
              : dispatch::DiscoveryWatchTiming::pushed();
 }
 
-// The descriptor from which on no further client connection is accepted.
+// Returns the descriptor from which on no further client connection is accepted.
 int accept_limit(const dispatch::Config& config) {
   return static_cast<int>(config.max_descriptors - kReservedDescriptors / 2 -
                           (config.max_descriptors - kReservedDescriptors) / kEndpointDescriptorDivisor);
@@ -71,7 +71,7 @@
 }  // namespace
 
 struct Broker::Parts {
-  const int class_count;  // of the settings
+  const int class_count;  // request classes in the settings
   RequestPolicy policy;
   dispatch::InFlightRequests requests;
   backend::FramedClient framed_client;
@@ -83,13 +83,13 @@
   frontend::platform::RequestParser request_parser;
   dispatch::DiscoveryWatch watch;
   frontend::HttpServer http_server;
-  dispatch::Config config;  // in force
+  dispatch::Config config;  // the configuration in force
   std::function<void()> done;
   Timer shutdown_timer;
   bool has_stopped_accepting = false;
-  int backlog_turns = 0;  // for which the listener was kept open
+  int backlog_turns = 0;  // turns of the event loop for which the listener was kept open
   dispatch::ClusterControl* cluster = nullptr;
-  // Counted only where there is a cluster; must not be iterated over.
+  // Attempts in flight by endpoint, counted only with a cluster; must not be iterated over.
   std::unordered_map<EndpointId, int> attempts_in_flight;
 
   Parts(event_base* base, const dispatch::Config& initial, const BrokerOptions& options)
@@ -193,7 +193,7 @@
   }
 
   void record_attempt_end(dispatch::Attempt& attempt, const dispatch::AttemptResult& result) {
-    // Copied: a request is destroyed with its last attempt, and the attempt with it.
+    // Copied, because a request is destroyed with its last attempt, and the attempt with the request.
     const EndpointId endpoint = attempt.endpoint;
     const Time latency = now() - attempt.sent_at;
     const dispatch::TrafficAccount account = attempt.account;
@@ -225,8 +225,8 @@
     });
   }
 
-  // Stops accepting only once the backlog is empty: connections that the kernel has completed and nobody has
-  // accepted would be reset with the listener.
+  // Stops accepting only once the backlog is empty: closing the listener would reset the connections that the
+  // kernel has completed and the broker has not accepted.
   void continue_shutdown() {
     if (!has_stopped_accepting && http_server.has_backlog() && backlog_turns++ < kMaxBacklogTurns) {
       http_server.make_room();
--- a/src/server/broker.h
+++ b/src/server/broker.h
@@ -1,4 +1,4 @@
-// The broker as a library: it is given an event loop and a configuration, and serves until it is shut down.
+// The broker as a library: takes an event loop and a configuration, and serves until it is shut down.
 #pragma once
 #include <functional>
 #include <memory>
@@ -39,7 +39,7 @@
 struct BrokerOptions {
   std::vector<TwoPhaseClass> two_phase_classes;
   std::string search_flavor;  // endpoints of this flavor speak the search API; empty: none do
-  std::size_t max_search_body_bytes = 1 << 20;  // of one of their responses
+  std::size_t max_search_body_bytes = 1 << 20;  // limit of one response of these endpoints
   // Null: the broker runs alone. Must outlive the broker.
   dispatch::ClusterControl* cluster_control = nullptr;
 };
@@ -47,11 +47,11 @@
 // A broker, from the clients' listener to the connections to endpoints.
 class Broker {
  public:
-  // @throws std::exception with a message of one line, where the configuration is invalid
+  // @throws std::exception with a message of one line, if the configuration is invalid
   Broker(event_base* base, const dispatch::Config& config, const BrokerOptions& options = {});
   ~Broker();
 
-  // The parts that further frontends need. A frontend that is added must outlive the event loop.
+  // Return the components that further frontends need. A frontend that is added must outlive the event loop.
   frontend::platform::RequestParser& request_parser();
   dispatch::TwoPhaseRunner& two_phase_runner();
   dispatch::InFlightRequests& in_flight_requests();
@@ -61,15 +61,15 @@
 
   // Requests the complete endpoint list at once.
   void refresh_endpoint_list();
-  // Closes the connections to an endpoint that gets no new attempts, once none are in flight to it. Call it
-  // again until it returns 0.
-  // @return attempts still in flight to the endpoint
+  // Closes the connections to an endpoint that gets no new attempts, once no attempts are in flight to it.
+  // The caller repeats the call until it returns 0.
+  // @return number of attempts still in flight to the endpoint
   int drain_endpoint(const std::string& name);
-  // From now on health checks fail, so that clients go elsewhere.
+  // Makes health checks fail from now on, so that clients use other brokers.
   void set_not_ready();
-  // Applies what may change while the broker runs, and logs what takes a restart.
+  // Applies the settings that may change while the broker runs, and logs the changes that need a restart.
   void apply_config(const dispatch::Config& config);
-  // Serves for as long as clients may still come, finishes the requests in flight, and then calls `done`,
+  // Serves for as long as clients may still connect, finishes the requests in flight, and then calls `done`,
   // once.
   void shut_down(std::function<void()> done);
 
