--- a/src/maintenance/job_queue.cpp
+++ b/src/maintenance/job_queue.cpp
@@ -38,7 +38,7 @@
   for (const int position : request.ring_positions) wire.add_cell(position);
 }
 
-// Times are clamped to these, so that no sum of them overflows.
+// Times are clamped to this range, so that no sum of times overflows.
 constexpr std::int64_t kMaxTimeMs = 4'000'000'000'000;
 constexpr std::int64_t kMaxDurationMs = 31LL * 86'400'000;
 Time time_from_ms(std::int64_t ms) { return std::clamp<std::int64_t>(ms, 0, kMaxTimeMs) * kMillisecond; }
@@ -133,8 +133,8 @@
 
 constexpr int kJobStates = 8;
 
-// Transitions that the leader may propose. Operators cancel a job, and report a machine as returned, by
-// operations of their own.
+// Returns whether the leader may propose the transition. Operators cancel a job, and report a machine as
+// returned, with separate operations.
 bool may_follow(JobState from, JobState to) {
   switch (from) {
     case JobState::kQueued:
@@ -310,8 +310,8 @@
     if (const std::string reason = permanent_blocking_reason(request); !reason.empty()) {
       return {0, "it never fits: " + reason};
     }
-    // Refused if the plan with this job makes it late, or makes late a job of the same or a higher priority
-    // that is in time without it.
+    // The request is refused if its job would be late in the plan, or would make another job late that is in
+    // time without it and has the same or a higher priority.
     const bool has_deadlines =
         request.latest_end != kNever || std::any_of(jobs_.begin(), jobs_.end(), [](const auto& other) {
           return other.second.state == JobState::kQueued && other.second.request.latest_end != kNever;
@@ -517,8 +517,8 @@
   int max_out = static_cast<int>((1 - fleet_status_.limits.min_zone_share_in_service) * all + 1e-9) - down;
   const auto it = fleet_status_.zones.find(zone);
   if (it != fleet_status_.zones.end() && it->second.capacity_per_second > 0 && all > 0) {
-    // The zone's capacity is that of its endpoints in service. An endpoint that is out counts as much as one
-    // of those on average.
+    // The zone's capacity is the capacity of its endpoints in service. An endpoint that is out is assumed to
+    // add the average capacity of an endpoint in service.
     int in_service = 0;
     for (const auto& [name, endpoint] : fleet_status_.endpoints) {
       in_service += endpoint.zone == zone && endpoint.is_ready && !out.count(name);
@@ -585,7 +585,7 @@
     const std::string other =
         "work " + number_text(static_cast<std::int64_t>(number)) + " on " + job.request.machine;
     // A lost machine blocks no other job by its shards or as one of the machines out. Its shards still have
-    // a replica less, and its voters don't vote: both are counted.
+    // one replica less and its voters don't vote; both are counted.
     if (job.state != JobState::kLost) {
       for (const int shard : shards_of(job.request)) {
         if (std::binary_search(own_shards.begin(), own_shards.end(), shard)) {
--- a/src/maintenance/job_scheduler.cpp
+++ b/src/maintenance/job_scheduler.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-// Random exchanges tried, divided by the number of queued jobs: ten for 200 jobs.
+// Divided by the number of queued jobs, this is the number of random exchanges tried: ten for 200 jobs.
 constexpr std::size_t kExchangeBudget = 2000;
 constexpr std::size_t kMaxExchanges = 120;
-// With more queued jobs than this only two orders are tried and no exchanges, as the leader plans beside its
-// other tasks.
+// With more queued jobs than this, only two orders and no exchanges are tried, because the leader has other
+// tasks besides planning.
 constexpr std::size_t kMaxJobsForFullSearch = 100;
-// The most urgent queued jobs that are planned. The others come after them.
+// Only this many of the most urgent queued jobs are planned. The others start after them.
 constexpr std::size_t kMaxPlannedJobs = 200;
 
 class ScheduleBuilder {
@@ -44,7 +44,8 @@
 
   struct Schedule {
     std::vector<JobSlot> slots;
-    // Missed deadlines, weighted by priority; end of the last job; sum of the start times. Less is better.
+    // Missed deadlines, weighted by priority; end of the last job; sum of the start times. A lower cost is
+    // better.
     std::tuple<long, Time, Time> cost;
   };
   // Places the jobs that aren't in progress in this order.
@@ -55,7 +56,7 @@
     for (std::size_t i = 0; i < jobs_.size(); ++i) {
       if (jobs_[i].started_at) {
         schedule.slots[i].start = *jobs_[i].started_at;
-        // A job that is past its planned duration is taken to end at the next moment.
+        // A job that is past its planned duration is assumed to end at the next moment.
         insert(placed,
                {i, *jobs_[i].started_at, std::max(*jobs_[i].started_at + jobs_[i].duration, now_ + 1)});
       }
@@ -84,13 +85,13 @@
     Time start;
     Time end;
   };
-  // Keeps the placements sorted by their end, so that those that end too early can be skipped.
+  // Keeps the placements sorted by their end, so that placements that end too early can be skipped.
   static void insert(std::vector<Placement>& placed, const Placement& placement) {
     placed.insert(std::upper_bound(placed.begin(), placed.end(), placement,
                                    [](const Placement& a, const Placement& b) { return a.end < b.end; }),
                   placement);
   }
-  // The earliest time at which the job neither conflicts with those placed nor exceeds a limit.
+  // Returns the earliest time at which the job neither conflicts with the placed jobs nor exceeds a limit.
   Time earliest_feasible_start(std::size_t i, const std::vector<Placement>& placed) const {
     const JobConstraints& job = jobs_[i];
     Time start = std::max(now_, job.earliest_start);
@@ -104,7 +105,7 @@
       for (auto placement = first; placement != placed.end(); ++placement) {
         if (placement->start >= start + job.duration) continue;
         next_try = std::min(next_try, placement->end);
-        // A conflicting job must end first, whatever else ends before.
+        // A conflicting job must end first, whichever other jobs end before.
         if (conflicts_[i][placement->job]) {
           has_conflict = true;
           next_try = placement->end;
@@ -113,11 +114,11 @@
         concurrent.push_back(&*placement);
       }
       if (!has_conflict && is_within_limits(job, start, concurrent)) return start;
-      start = next_try;  // never kNever here: only a concurrent job can be in the way
+      start = next_try;  // never kNever here: only a concurrent job can prevent the start
     }
   }
-  // The use of a limit rises only where a job starts: so the limits are checked at the job's own start and
-  // at each start of a concurrent job after it.
+  // The number of machines out rises only when a job starts, so the limits are checked at the job's own start
+  // and at each later start of a concurrent job.
   bool is_within_limits(const JobConstraints& job, Time start,
                         const std::vector<const Placement*>& concurrent) const {
     const auto is_within_limits_at = [&](Time time) {
--- a/src/maintenance/maintenance_controller.cpp
+++ b/src/maintenance/maintenance_controller.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-// With at most this many jobs the plan is made anew at each change of the queue, with more only each second.
+// With at most this many jobs the plan is recomputed at each change of the queue, with more only each second.
 constexpr std::size_t kMaxJobsToPlanOnChange = 64;
 constexpr std::size_t kMaxReasonBytes = 256;
-// Brokers named in one reason.
+// Maximum number of brokers named in one reason.
 constexpr int kMaxNamedBrokers = 5;
 
 bool holds_all(const std::set<std::string>& set, const std::vector<std::string>& names) {
@@ -86,7 +86,7 @@
   return all;
 }
 
-// Small changes of load and capacity don't count: they change all the time.
+// Small changes of load and capacity are ignored, because both change all the time.
 bool MaintenanceController::is_worth_sending(const FleetStatus& sent, const FleetStatus& current) const {
   FleetStatus comparable = current;
   comparable.revision = sent.revision;
@@ -126,8 +126,8 @@
     operation.fleet_status = view.fleet_status;
     entry->text = encode_operation(operation);
   }
-  // Both are called each time, as they also collect what the jobs wait for. The first entry found is
-  // proposed.
+  // Both functions are called each time, as they also collect the reasons why jobs wait. The first entry
+  // found is proposed.
   auto candidate = exclude_endpoints(now, versions, *queue);
   if (!entry) entry = std::move(candidate);
   candidate = advance_jobs(now, wall_time, versions, *queue, view);
@@ -148,7 +148,7 @@
   const auto is_subset = [](const auto& subset, const auto& set) {
     return std::includes(set.begin(), set.end(), subset.begin(), subset.end());
   };
-  // While a next baseline exists the brokers are taking it up.
+  // While a next baseline exists, brokers are still adopting it.
   if (!is_subset(wanted_in_baseline, baseline) && !versions.next_baseline()) {
     std::set<std::string> both = baseline;
     both.insert(wanted_in_baseline.begin(), wanted_in_baseline.end());
@@ -177,7 +177,8 @@
   return std::nullopt;
 }
 
-// Why the machine's endpoints may still have open attempts or get new ones. Empty: neither.
+// Returns why the machine's endpoints may still have open attempts or get new attempts. Empty: neither is
+// possible.
 std::string MaintenanceController::draining_reason(Time now, const Job& job,
                                                    const shared_config::VersionHistory& versions,
                                                    const LeaderView& view) {
@@ -203,8 +204,8 @@
     const auto report = reports_.find(broker);
     bool is_clear = false;
     if (has_lease || broker == self_) {
-      // The broker must have reported it since the endpoints are excluded, and while it acted under a version
-      // that excludes them.
+      // The broker's report must have arrived after the endpoints were excluded, and the broker must have
+      // acted under a version that excludes them.
       const shared_config::Version* version =
           report == reports_.end() ? nullptr : versions.find(report->second.lease_low_version);
       is_clear =
@@ -225,8 +226,8 @@
          (missing > kMaxNamedBrokers ? " and " + std::to_string(missing - kMaxNamedBrokers) + " more" : "");
 }
 
-// Whether the job is late by the wall clock, and this leader has seen it in its state for at least
-// `lost_after` by its own clock.
+// Returns whether the job is late by the wall clock, and this leader has seen the job in its state for at
+// least `lost_after` by the leader's own clock.
 bool MaintenanceController::is_overdue(Time now, Time wall_time, const Job& job, Time duration,
                                        const FleetStatus& status) const {
   return wall_time >= job.state_since + duration + status.limits.lost_after &&
@@ -248,7 +249,7 @@
         observed_states_.try_emplace(number, ObservedState{job.state, now}).first->second;
     if (observed.state != job.state) observed = {job.state, now};
     if (job.state == JobState::kDraining || job.state == JobState::kEmpty) {
-      // After a failure elsewhere the machine may be needed more in service.
+      // After a failure elsewhere it may be more urgent to keep the machine in service.
       const bool has_ready_endpoint =
           std::any_of(job.request.endpoints.begin(), job.request.endpoints.end(), [&](const auto& endpoint) {
             const auto it = status.endpoints.find(endpoint);
@@ -279,7 +280,7 @@
             if (!is_running) continue;
             reason += (reason.empty() ? "brokers on it are still running: " : ", ") + broker;
             // A voter is stopped at once only if no other broker could take over its vote. Otherwise it waits
-            // until the vote has moved, so that the vote is not lost with it. The leader hands over
+            // until the vote has moved, so that the vote is not lost with the voter. The leader transfers
             // leadership before it stops.
             std::size_t spare_voters = 0;
             for (const auto& [name, held] : view.leases) {
@@ -326,8 +327,8 @@
           } else if (!it->second.is_warm) {
             reason = endpoint + " is still cold";
           } else if (now < observed.since + options_.warm_up_time) {
-            // An endpoint list from before the restart shows the endpoint as warm. If the job ended then,
-            // another replica of its shards would be taken out beside a cold one.
+            // An endpoint list from before the restart shows the endpoint as warm. If the job ended by that
+            // list, another replica of its shards could be taken out while this replica is cold.
             reason = endpoint + " may be cold: the list may tell of an earlier start";
           }
         }
@@ -399,8 +400,8 @@
       return make_transition(now, wall_time, *job, JobState::kDraining, "its turn");
     }
     waiting_reasons_[planned.job] = reason;
-    // A job whose shard has lost a replica for good never starts, and the jobs planned after it would wait
-    // for ever. So it is skipped once it has been blocked for as long as it would have taken.
+    // A job whose shard has lost a replica permanently never starts, and the jobs planned after it would wait
+    // forever. So the job is skipped once it has been blocked for as long as it would have taken.
     const Time since = blocked_since_.try_emplace(planned.job, now).first->second;
     if (plan_.size() > 1 &&
         now - since >= job->request.duration + queue.fleet_status().limits.transition_time) {
