--- a/src/shared_config/endpoint_gossip.cpp
+++ b/src/shared_config/endpoint_gossip.cpp
@@ -52,7 +52,7 @@
     if (it != notices_.end() && it->second.revision <= own_revision_) drop(it);
     return;
   }
-  // A notice of this revision or an earlier one says the same already.
+  // A notice of this revision or an earlier revision already has the same content.
   if (it != notices_.end() && it->second.is_gone == gone && it->second.started_at >= started) return;
   if (it != notices_.end() && it->second.revision > own_revision_) return;
   put({name, started, gone, own_revision_});
--- a/src/shared_config/leases.cpp
+++ b/src/shared_config/leases.cpp
@@ -51,8 +51,8 @@
   const auto baseline_before = baseline_.number;
   const auto next_before = next_baseline_ ? next_baseline_->number : 0;
   for (const Version& v : g.versions) versions_[v.number] = v;
-  // Grants may arrive out of order. A grant from before a next baseline existed must not bring back the
-  // baseline that this broker has already reported not to act on alone any more.
+  // Grants may arrive out of order. This broker has reported that it no longer acts on the old baseline
+  // alone, so a grant from before the next baseline existed must not restore the old baseline.
   const auto step = [](std::uint64_t baseline, bool has_next) { return 2 * baseline + has_next; };
   if (g.baseline && (g.term > baseline_term_ ||
                      (g.term == baseline_term_ && step(g.baseline->number, g.next_baseline.has_value()) >=
@@ -62,7 +62,7 @@
     baseline_term_ = g.term;
     rebuild_baseline();
   }
-  // The newest version that is held without a gap from the first relevant one on.
+  // Find the newest version up to which there is no gap, counted from the first relevant version.
   const std::uint64_t from = g.low                ? g.low
                              : g.versions.empty() ? newest_version_ + 1
                                                   : g.versions.front().number;
@@ -72,7 +72,7 @@
     newest_version_ = std::max(newest_version_, last);
   }
   if (g.low == 0 || g.low > g.high) {
-    // After new content the next request follows at once and reports it.
+    // After new content the next request follows at once and reports the content.
     next_request_ =
         newest_version_ > have_before ? now : std::min(next_request_, now + settings_.retry_interval());
     return true;
@@ -83,7 +83,7 @@
   config->baseline = baseline_.number;
   for (std::uint64_t n = g.low; n <= g.high; ++n) {
     const auto it = versions_.find(n);
-    if (it == versions_.end()) return true;  // some content is missing: the lease is not taken up
+    if (it == versions_.end()) return true;  // some content is missing, so the lease is not applied
     config->rules = config->rules ? std::make_shared<const RuleSet>(meet(*config->rules, *it->second.rules))
                                   : it->second.rules;
   }
@@ -95,7 +95,7 @@
   if (g.low > VersionHistory::kMaxOldVersions)
     versions_.erase(versions_.begin(), versions_.lower_bound(g.low - VersionHistory::kMaxOldVersions));
   next_request_ = requested_at + settings_.renew_interval();
-  // A change is acknowledged at once; if that waited for the next renewal, every change would take that long.
+  // A change is acknowledged at once; otherwise every change would have to wait for the next renewal.
   if (!same || baseline_.number != baseline_before ||
       (next_baseline_ ? next_baseline_->number : 0) != next_before)
     next_request_ = now;
@@ -183,8 +183,8 @@
   if (request.releases_lease) return release(by);
   if (brokers_.size() >= VersionHistory::kMaxBrokers && !brokers_.count(by)) return;
   BrokerState& h = brokers_[by];
-  // A restarted broker may keep to another baseline than its previous process: a late request of that process
-  // doesn't count.
+  // A restarted broker may follow another baseline than its previous process did, so a late request of the
+  // previous process is ignored.
   if (const std::uint64_t incarnation = request.sequence >> 32; incarnation != h.incarnation) {
     if (incarnation != 0 && incarnation == h.previous_incarnation) return;
     h.previous_incarnation = std::exchange(h.incarnation, incarnation);
@@ -206,8 +206,8 @@
 
 std::optional<std::uint64_t> LeaseManager::start_round(Time now) {
   if (!is_leading_ || waiting_requests_.empty()) return std::nullopt;
-  // If each request started a new round, requests that arrive faster than confirmations would starve them
-  // all.
+  // If each request started a new round, no round would ever complete while requests arrive faster than
+  // confirmations.
   if (round_in_progress_ && now - round_started_at_ < settings_.retry_interval() / 4) return std::nullopt;
   round_started_at_ = now;
   // Requests of an unfinished round join the new one: they arrived before it started.
@@ -236,8 +236,8 @@
     g.low = versions.in_force();
     g.high = versions.newest();
   }
-  // The versions that the broker lacks. A broker without any gets the old ones too, so that operators can
-  // read the history at any broker.
+  // Add the versions that the broker lacks. A broker without any version also gets the old versions, so that
+  // operators can read the history at any broker.
   for (auto it = versions.versions().lower_bound(request.newest_version + 1); it != versions.versions().end();
        ++it)
     g.versions.push_back(it->second);
@@ -251,7 +251,7 @@
     BrokerState& h = brokers_[to];
     std::erase_if(h.outstanding, [&](const OutstandingGrant& o) { return o.expires_at <= now; });
     constexpr std::size_t kMaxOutstandingGrants = 32;
-    if (h.outstanding.size() >= kMaxOutstandingGrants) {  // merges the two oldest into the stricter of both
+    if (h.outstanding.size() >= kMaxOutstandingGrants) {  // merge the two oldest into the stricter of both
       h.outstanding[1].high = std::min(h.outstanding[0].high, h.outstanding[1].high);
       h.outstanding.erase(h.outstanding.begin());
     }
--- a/src/shared_config/rule_set.cpp
+++ b/src/shared_config/rule_set.cpp
@@ -27,7 +27,7 @@
   return std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c <= '~' && c != '"'; });
 }
 
-// Describes the first of `names` that is not in `known`; empty if all of them are.
+// Describes the first of `names` that is not in `known`; returns an empty string if all of them are.
 std::string first_missing_name(const std::set<std::string>& known, const std::set<std::string>& names,
                                const char* field) {
   for (const auto& name : names)
--- a/src/shared_config/rule_set.h
+++ b/src/shared_config/rule_set.h
@@ -1,7 +1,7 @@
 // Restrictions that all brokers apply, written by operators on top of each broker's own settings.
 //
-// Rule sets form a meet-semilattice: for any two there is a greatest rule set that allows nothing that either
-// of them forbids, the meet. A broker that acts on the meet of two versions contradicts neither of them.
+// Rule sets form a meet-semilattice: for any two rule sets, their meet is the greatest rule set that allows
+// nothing that either of them forbids. A broker that acts on the meet of two versions contradicts neither.
 //
 // | rule                                               | allows more  | meet of two            |
 // | -------------------------------------------------- | ------------ | ---------------------- |
@@ -26,19 +26,19 @@
 // The restrictions of one request class. The default restricts nothing.
 struct RequestClassRule {
   bool is_served = true;             // false: requests are rejected on arrival
-  Time max_duration = kNever;        // of a request, even if its client would wait longer
+  Time max_duration = kNever;        // a request ends by then, even if its client would wait longer
   int max_in_progress = INT_MAX;     // requests in progress at one broker
   Time max_latency_budget = kNever;  // a later answer counts as late
-  double min_share = 0;              // of the weight, for a partial answer; 0 to 1
-  std::int64_t max_cross_zone_bytes_per_second = INT64_MAX;  // sent by one broker between zones
+  double min_share = 0;              // share of the weight that a partial answer needs; 0 to 1
+  std::int64_t max_cross_zone_bytes_per_second = INT64_MAX;  // bytes that one broker sends between zones
   bool operator==(const RequestClassRule&) const = default;
 };
 
 // The share of its shard requests that a zone's brokers may send to each other zone, in thousandths. Requests
 // within a zone are never restricted.
 struct ZoneShares {
-  int default_thousandths = 1000;  // for pairs that are not listed
-  // By (from, to); holds no entry that equals the default.
+  int default_thousandths = 1000;  // share for pairs that are not listed
+  // Shares by (from, to); holds no entry that equals the default.
   std::map<std::pair<std::string, std::string>, int> thousandths_by_pair;
   // Returns the share of the pair, in thousandths.
   int thousandths(const std::string& from, const std::string& to) const;
@@ -48,7 +48,7 @@
 
 // One complete set of restrictions. The default restricts nothing.
 struct RuleSet {
-  std::map<std::string, RequestClassRule> request_classes;  // without entries that restrict nothing
+  std::map<std::string, RequestClassRule> request_classes;  // holds no entry that restricts nothing
   int max_attempts = INT_MAX;                               // attempts of one shard request
   bool allows_hedging = true;                               // false: no hedged attempts
   std::set<std::string> two_phase_disabled;                 // request classes that may not run in two phases
@@ -56,21 +56,21 @@
   std::set<std::string> withheld_endpoints;                 // endpoints that receive no new attempts
   std::uint64_t min_list_revision = 0;                      // endpoint lists of a lower revision are ignored
   ZoneShares zone_shares;
-  std::set<std::string> endpoints_in_maintenance;  // out of service for maintenance, or on the way out
+  std::set<std::string> endpoints_in_maintenance;  // out of service for maintenance, or draining for it
   bool operator==(const RuleSet&) const = default;
 
-  // Returns the restrictions of a request class; the default ones if it has no entry.
+  // Returns the restrictions of a request class; the default restrictions if the class has no entry.
   const RequestClassRule& rule_for(const std::string& op_type) const;
 };
 
 // Returns the greatest rule set that allows nothing that `a` or `b` forbids.
 RuleSet meet(const RuleSet& a, const RuleSet& b);
-// True if `a` allows nothing that `b` forbids.
+// Returns true if `a` allows nothing that `b` forbids.
 bool is_within(const RuleSet& a, const RuleSet& b);
-// Describes the first rule by which `a` allows more than `b`; empty if there is none.
+// Describes the first rule by which `a` allows more than `b`; returns an empty string if there is none.
 std::string first_excess(const RuleSet& a, const RuleSet& b);
 
-// A rule set that cannot be parsed. what() is one line: the file, the field and the allowed values.
+// Reports a rule set that cannot be parsed. what() is one line: the file, the field and the allowed values.
 struct RuleSetError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
--- a/src/shared_config/shared_config_node.cpp
+++ b/src/shared_config/shared_config_node.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Time kVoterRepairInterval = kSecond;
-constexpr int kMaxUnansweredRequests = 3;  // then another broker is asked for the leader
+constexpr int kMaxUnansweredRequests = 3;  // after this many, another broker is asked for the leader
 constexpr std::size_t kMaxPendingProposals = 64;
 
 }  // namespace
@@ -174,7 +174,7 @@
   if (p.has_grant()) {
     const auto& w = p.grant();
     if (w.sequence() == 0) {
-      lease_client_.request_soon(now);  // not a grant: the leader has something new
+      lease_client_.request_soon(now);  // not a grant: the leader announces a change
     } else {
       LeaseGrant g;
       g.sequence = w.sequence();
@@ -210,7 +210,7 @@
     const auto e = decode_entry(p.proposal().entry());
     if (e && raft_node_ && raft_node_->leads()) {
       raft_node_->propose(now, *e, [this, from, id = e->id](const std::optional<ApplyResult>& v) {
-        if (!v) return;  // the entry may or may not be committed: the proposer repeats it
+        if (!v) return;  // it is unknown whether the entry is committed; the proposer repeats the proposal
         accord::wire::Packet back;
         back.mutable_verdict()->set_id(id);
         back.mutable_verdict()->set_number(v->number);
--- a/src/shared_config/shared_config_node.h
+++ b/src/shared_config/shared_config_node.h
@@ -1,5 +1,6 @@
-// One broker's part in the shared configuration: its lease client and, if it may vote, the replicated log and
-// the lease manager. No I/O and no clock: the caller passes in messages and the time and takes messages out.
+// One broker's node of the shared configuration: its lease client and, if the broker may vote, the replicated
+// log and the lease manager. The node does no I/O and reads no clock: the caller passes in messages and the
+// time and takes messages out.
 //
 // Every broker asks the leader for leases. A broker with a store runs a Raft node and may vote; the leader's
 // Raft node holds the versions that leases are granted on.
@@ -29,9 +30,9 @@
 struct SharedConfigSettings {
   LeaseSettings lease;
   EngineTerms raft;
-  std::vector<std::string> voters;              // as configured; the first to be asked for the leader
-  Time voter_replacement_delay = 30 * kSecond;  // a voter that is lost for so long is replaced
-  Time proposal_timeout = 10 * kSecond;         // a proposal without an answer is given up
+  std::vector<std::string> voters;              // as configured; asked first for the leader
+  Time voter_replacement_delay = 30 * kSecond;  // a voter that is lost for this long is replaced
+  Time proposal_timeout = 10 * kSecond;         // a proposal without an answer is dropped after this time
   std::uint32_t incarnation = 0;                // incarnation of the process; grows with each restart
 };
 
@@ -67,7 +68,7 @@
   ~SharedConfigNode();
 
   void start(Time now);
-  // To be called at the time that `next_wake` returns.
+  // Must be called at the time that `next_wake` returns.
   void handle_wake(Time now);
   Time next_wake() const;
   // Handles a message of the broker `from`.
@@ -76,40 +77,41 @@
     std::string to;
     std::string bytes;  // a wire::Packet
   };
-  // Returns the next message to send; to be called until it returns none, after each of the calls above.
+  // Returns the next message to send. Must be called after each of the calls above until it returns nothing.
   std::optional<Outgoing> take_message();
 
   const std::shared_ptr<const ActiveConfig>& active_config(Time now) const {
     return lease_client_.active_config(now);
   }
-  // True once any leader has answered this process.
+  // Returns true once any leader has answered this process.
   bool has_leader_answered() const { return has_leader_answered_; }
-  // Restores the baseline that an earlier process stored. To be called before `start`.
+  // Restores the baseline that an earlier process stored. Must be called before `start`.
   void restore_baseline(const Version& baseline) { lease_client_.restore_baseline(baseline); }
 
-  // Takes up what the membership protocol knows of another broker.
+  // Updates the membership protocol's status of another broker.
   void update_peer(Time now, const std::string& name, bool alive);
 
-  // Proposes an entry to the log. `done` is called once, with the result, or with none if time ran out.
+  // Proposes an entry to the log. `done` is called once, with the result, or with nothing after the timeout.
   using Done = std::function<void(const std::optional<ApplyResult>&)>;
   void propose(Time now, ConfigEntry entry, Done done);
-  // Names the brokers that are about to be taken out of service. Voters among them are replaced at once; if
+  // Sets the brokers that are about to be taken out of service. Voters among them are replaced at once; if
   // this broker is among them and leads, it transfers leadership.
   void set_retiring_brokers(std::set<std::string> names) { retiring_ = std::move(names); }
-  // The leases that this broker has granted as leader.
+  // Returns the manager of the leases that this broker has granted as leader.
   const LeaseManager& lease_manager() const { return lease_manager_; }
-  // Hands back its lease and, if it leads, transfers leadership.
+  // Releases this broker's lease and, if the broker leads, transfers leadership.
   void leave(Time now);
 
-  // Returns the known versions: those of the log if this broker runs a Raft node, else those of its grants.
+  // Returns the known versions: the versions in the log if this broker runs a Raft node, else the versions in
+  // its grants.
   std::vector<Version> history() const;
   const LeaseClient& lease_client() const { return lease_client_; }
-  // The last known leader; empty: unknown.
+  // Returns the last known leader; empty: unknown.
   const std::string& leader() const { return leader_; }
-  // Null if this broker has no store.
+  // Returns the Raft node; null if this broker has no store.
   const Engine* raft_node() const { return raft_node_.get(); }
   SharedConfigStatus status(Time now) const;
-  // Called for each entry that the log applies here. Optional.
+  // Optional callback, called for each entry that the log applies at this broker.
   std::function<void(const ConfigEntry&, const ApplyResult&)> on_applied;
 
  private:
--- a/src/shared_config/version_history.cpp
+++ b/src/shared_config/version_history.cpp
@@ -268,7 +268,7 @@
   read.zone_shares_version_ = s.zones_from();
   read.maintenance_version_ = s.works_from();
   read.baseline_maintenance_version_ = s.ground_works_from();
-  // Older releases didn't record these fields: the newest version and the baseline stand in for them.
+  // Older releases didn't record these fields; the newest version and the baseline are used instead.
   read.settings_version_ = s.has_settings_from() ? s.settings_from() : read.newest();
   read.baseline_settings_version_ =
       s.has_ground_settings_from() ? s.ground_settings_from() : read.baseline_.number;
--- a/src/shared_config/version_history.h
+++ b/src/shared_config/version_history.h
@@ -4,10 +4,11 @@
 // leases or peers.
 //
 // A version is complete and immutable. Versions are numbered from 1; one of them is in force, and newer ones
-// may wait to take effect. The baseline is the rule set that a broker acts on while it holds no lease. It
-// lies within the version in force and within every later one, so a broker without a lease contradicts no
-// other. The baseline changes in two steps: while a next baseline is pending, brokers act on the meet of
-// both; once every enrolled broker does so, the next one replaces the old one.
+// may wait to take effect. The baseline is the rule set that a broker acts on while it holds no lease. The
+// baseline allows nothing that the version in force or a later version forbids, so a broker without a lease
+// contradicts no other broker. The baseline changes in two steps: while a next baseline is pending, brokers
+// act on the meet of both baselines; once every enrolled broker does so, the next baseline replaces the old
+// one.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -26,10 +27,10 @@
 struct Version {
   std::uint64_t number = 0;
   std::string text;  // canonical text of `rules`
-  std::string hash;  // of `text`
+  std::string hash;  // content hash of `text`
   std::string who;
   std::string why;
-  std::string id;    // of the proposal
+  std::string id;    // id of the proposal
   std::string note;  // the data that the zone shares were computed from
   std::shared_ptr<const RuleSet> rules;
 };
@@ -41,23 +42,23 @@
     kProposeBaseline,     // a new baseline; rejected if another proposal changed its settings since `base`
     kActivateVersion,     // the version `number` takes effect
     kActivateBaseline,    // the next baseline, `number`, takes effect
-    kEnrollBroker,        // adds the broker `name` to the enrolled ones
-    kRemoveBroker,        // removes the broker `name` from the enrolled ones
+    kEnrollBroker,        // adds the broker `name` to the enrolled brokers
+    kRemoveBroker,        // removes the broker `name` from the enrolled brokers
     kProposeZoneShares,   // the newest version with new zone shares and a note
     kSetZoneOrder,        // sets an operator's order on the zone `name`; an empty text clears it
     kProposeMaintenance,  // the newest version with a new set of endpoints in maintenance
     kProposeBaselineMaintenance,  // the baseline with a new set of endpoints in maintenance
-    kStateMachine                 // for the additional state machine
+    kStateMachine                 // an entry of the additional state machine
   };
   Kind kind = Kind::kProposeVersion;
-  std::string id;    // of the proposal; an entry with a known id is applied once only
+  std::string id;    // id of the proposal; entries with the same id are applied only once
   std::string text;  // rules, a zone order or an entry of the additional state machine, by kind
   std::string who;
   std::string why;
-  std::string name;  // of a broker or a zone, by kind
+  std::string name;  // name of a broker or a zone, by kind
   std::string note;
-  // The version or baseline that a proposal was made from. For zone shares and maintenance: the one that last
-  // changed them; any other one is rejected.
+  // The version or baseline that a proposal was made from. A proposal for zone shares or maintenance names
+  // the version or baseline that last changed them; it is rejected with any other number.
   std::uint64_t base = 0;
   std::uint64_t number = 0;
 };
@@ -68,7 +69,7 @@
 // The result of applying an entry.
 struct ApplyResult {
   std::uint64_t number = 0;  // the version or baseline that a proposal became; 0: rejected
-  std::string rejection;     // the reason of the rejection
+  std::string rejection;     // the reason for the rejection
 };
 
 // An additional state machine that the log drives beside the versions, implemented by another package. The
@@ -84,17 +85,17 @@
   virtual std::shared_ptr<const ReplicatedStateMachine> restore(std::string_view bytes) const = 0;
 };
 
-// An operator's order on a zone; it holds until the operator clears it.
+// An operator's order on a zone; the order holds until an operator clears it.
 struct ZoneOrder {
   std::string action;  // "evacuate" or "hold"
   std::string who;
   std::string why;
 };
 
-// The state that the entries of the log produce.
+// Holds the state that the entries of the log produce.
 class VersionHistory {
  public:
-  // `state_machine`: the initial state of the additional state machine, if the log drives one.
+  // `state_machine` is the initial state of the additional state machine; null if there is none.
   explicit VersionHistory(std::shared_ptr<const ReplicatedStateMachine> state_machine = nullptr);
 
   // Applies one entry of the log.
@@ -107,11 +108,11 @@
   const Version* find(std::uint64_t number) const;
   const Version& baseline() const { return baseline_; }
   const std::optional<Version>& next_baseline() const { return next_baseline_; }
-  // The brokers that must take up a baseline before it takes effect.
+  // Returns the brokers that must follow a baseline before it takes effect.
   const std::set<std::string>& enrolled_brokers() const { return enrolled_brokers_; }
   const std::map<std::string, ZoneOrder>& zone_orders() const { return zone_orders_; }  // by zone
-  // The last version that changed the zone shares, the last that changed the endpoints in maintenance, and
-  // the last baseline that changed those; 0: none.
+  // Return the last version that changed the zone shares, the last version that changed the endpoints in
+  // maintenance, and the last baseline that changed the endpoints in maintenance; 0: none.
   std::uint64_t zone_shares_version() const { return zone_shares_version_; }
   std::uint64_t maintenance_version() const { return maintenance_version_; }
   std::uint64_t baseline_maintenance_version() const { return baseline_maintenance_version_; }
@@ -147,8 +148,8 @@
   std::uint64_t baseline_maintenance_version_ = 0;
   std::uint64_t settings_version_ = 1;           // the last version that an operator proposed
   std::uint64_t baseline_settings_version_ = 1;  // the last baseline that an operator proposed
-  std::deque<std::pair<std::string, std::uint64_t>>
-      recent_proposals_;  // id and result of recent proposals, oldest first
+  // Ids and results of recent proposals, oldest first.
+  std::deque<std::pair<std::string, std::uint64_t>> recent_proposals_;
 };
 
 }  // namespace cairnhub::shared_config
