--- a/src/cluster/admin_api.cpp
+++ b/src/cluster/admin_api.cpp
@@ -158,11 +158,10 @@
   return to_text(history);
 }
 
-// Every broker reports the limits that it acts on; the leader adds the evidence for its decisions.
+// Every broker reports the zone limits that it acts on; the leader adds the evidence for its decisions.
 std::string AdminApi::zones_json() const {
   const auto& zone_failover = *node_.zone_failover();
-  // Without a shared configuration the broker decides by
-  // itself and keeps versions of its own.
+  // Without a shared configuration the broker decides by itself and keeps versions of its own.
   const shared_config::VersionHistory* standalone = node_.standalone_zone_versions();
   const auto status =
       standalone ? shared_config::SharedConfigStatus{} : node_.shared_config_node()->status(now());
@@ -224,7 +223,8 @@
   return to_text(out);
 }
 
-// Attempts and bytes between this broker and each zone, by request class, and the state of the byte budgets.
+// Returns the attempts and bytes between this broker and each zone, by request class, and the state of the
+// byte budgets.
 std::string AdminApi::cross_zone_traffic_json() const {
   const auto& zone_failover = *node_.zone_failover();
   const auto& budget = *node_.cross_zone_budget();
@@ -256,8 +256,8 @@
                   {"budgets", budgets}});
 }
 
-// The maintenance jobs as the log has them. At the leader also the reason why each job waits and its planned
-// start.
+// Returns the maintenance jobs in the log. The leader adds the reason why each job waits and the job's
+// planned start.
 std::string AdminApi::maintenance_json() const {
   const auto status = node_.shared_config_node()->status(now());
   const auto* queue = node_.maintenance_agent()->job_queue();
@@ -289,7 +289,7 @@
          {"rack", job.request.rack},
          {"endangers", job.is_open() ? json(queue->shards_below_min_replicas(job.request)) : json::array()}});
   }
-  // Planned from the last fleet status in the log, as every voter plans it from the same entries.
+  // The plan uses the time of the last fleet status in the log, so every voter computes the same plan.
   for (const auto& planned : maintenance::plan_jobs(*queue, queue->fleet_status_at())) {
     const auto& job = queue->jobs().at(planned.job);
     plan.push_back({{"work", planned.job},
@@ -318,7 +318,7 @@
   return to_text(out);
 }
 
-// Returns an operator's request on maintenance jobs, encoded for the log entry; none if it is not
+// Returns an operator's request on maintenance jobs, encoded for the log entry; nothing if the request is not
 // well-formed.
 std::optional<std::string> AdminApi::parse_job_operation(const nlohmann::json& body) {
   maintenance::JobOperation operation;
@@ -374,7 +374,7 @@
   return maintenance::encode_operation(operation);
 }
 
-// A proposal without a verdict yet. The client may disconnect before there is one.
+// A proposal that waits for its verdict. The client may disconnect before the verdict arrives.
 struct AdminApi::PendingProposal {
   evhttp_request* request;
   std::shared_ptr<bool> api_is_alive;
@@ -432,9 +432,8 @@
                       to_text({{"error", std::to_string(kMaxPendingProposals) +
                                              " proposals are pending already, try again later"}}));
   ++pending_proposals_;
-  // libevent frees the request once it is answered. If the connection closes before,
-  // this code has to
-  // free it.
+  // libevent frees the request once it is answered. If the connection closes before that, this code has to
+  // free the request.
   evhttp_request_own(request);
   auto pending = std::make_shared<PendingProposal>(PendingProposal{request, is_alive_, this});
   node_.propose(std::move(entry), [pending](const std::optional<shared_config::ApplyResult>& verdict) {
--- a/src/cluster/admin_api.h
+++ b/src/cluster/admin_api.h
@@ -1,6 +1,6 @@
 // The HTTP API for operators, used by `cairnhub accord`, `cairnhub peers`, `cairnhub zones` and
 // `cairnhub upkeep`. Reports this broker's view of the cluster as JSON and takes proposals for the shared
-// log. Listens on an address of its own, never on the one for clients.
+// log. Listens on an address of its own, never on the address for clients.
 //
 //   GET /accord/status, /accord/history, /peers, /zones, /zones/crossing, /upkeep
 //   POST /accord/propose
@@ -21,9 +21,10 @@
 
 namespace cairnhub::cluster {
 
+// Serves the API from the event loop until it is destroyed.
 class AdminApi {
  public:
-  // Throws std::runtime_error with a one-line message if it can't listen on the configured address.
+  // Throws std::runtime_error with a one-line message if the server can't listen on the configured address.
   AdminApi(event_base* base, ClusterNode& node);
   ~AdminApi();
   AdminApi(const AdminApi&) = delete;
--- a/src/cluster/cluster_node.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -17,20 +17,20 @@
 
 namespace {
 
-// The first byte of a message between brokers tells its kind.
+// The first byte of a message between brokers is its kind.
 constexpr char kMembershipMessage = 'P';
 constexpr char kSharedConfigMessage = 'A';
 constexpr char kZoneReportMessage = 'Z';
 constexpr char kMaintenanceMessage = 'U';
 
-// A broker that learns of a drain sends the notice to this many others. Spread this way it reaches a share c
-// of all brokers with c = 1 - exp(-4 c), which is 0.98 (Kermack and McKendrick); the rest learn of it through
-// the digests on pings.
+// A broker that learns of a drain sends the notice to this many other brokers. The notice then reaches a
+// share c of all brokers with c = 1 - exp(-4 c), which is 0.98 (Kermack and McKendrick); the rest learn of
+// the drain through the digests on pings.
 constexpr int kNoticeFanout = 4;
 constexpr std::size_t kMaxNoticesPerMessage = 24;
 constexpr Time kNoticeRequestInterval = kSecond / 4;
 constexpr Time kListRequestInterval = kSecond;
-// A list that is behind for less may still be on its way from the agent.
+// A newer list may still be in transit from the agent until the own list has been behind for this long.
 constexpr Time kMaxListLag = 3 * kSecond / 10;
 
 membership::MembershipOptions membership_options(const options::Fleet& options) {
@@ -50,8 +50,8 @@
   terms.voters = options.voters;
   terms.incarnation = randombytes_random();
   terms.voter_replacement_delay = options.replace_after;
-  // Elections take a small share of the stated time, so that the first commits after an election fit into it
-  // as well.
+  // Elections take a small share of the stated time, so that the first commits after an election also fit
+  // into the stated time.
   const Time ms = kSecond / 1000;
   terms.raft.election = std::clamp<Time>(options.stated / 8, 60 * ms, 300 * ms);
   terms.raft.heartbeat = terms.raft.election / 5;
@@ -59,10 +59,10 @@
   return terms;
 }
 
-// A request class may cross regions only if its latency objective has room for two attempts, one after the
-// other.
+// A request class may cross regions only if two attempts, one after the other, fit into its latency
+// objective.
 constexpr int kMinRoundTripsInObjective = 4;
-// Fewer attempts within the load window say nothing about a zone's health.
+// With fewer attempts within the load window, a zone's health is not evaluated.
 constexpr double kMinAttemptsInWindow = 5;
 
 zone_failover::ZoneFailoverOptions zone_failover_options(const options::Zones& options) {
@@ -229,8 +229,8 @@
   process_events();
 }
 
-// A machine is handed over for maintenance once its brokers have left the membership. A broker that left
-// before it had finished its requests in flight would lose them with the machine.
+// The maintenance of a machine may begin once its brokers have left the membership. If a broker left before
+// it had finished its requests in flight, these requests would be lost with the machine.
 void ClusterNode::announce_departure() {
   if (event_log_) event_log_->record_event("gone");
   membership_.leave();
@@ -297,7 +297,7 @@
   }
 }
 
-// Sends to the broker `to`, or to a few random ones if `to` is empty.
+// Sends the notices to the broker `to`, or to a few random brokers if `to` is empty.
 void ClusterNode::send_notices(const std::vector<shared_config::EndpointNotice>& notices,
                                const std::string& to) {
   for (std::size_t first = 0; first < notices.size(); first += kMaxNoticesPerMessage) {
@@ -321,8 +321,8 @@
   if (const auto* member = membership_.members().find(to)) transport_.send(to, member->address(), bytes);
 }
 
-// Sends the pending output of all parts, handles their state changes, and sets the timer for the next one
-// due.
+// Sends the pending output of all components, handles their state changes, and sets the timer for the
+// component that is due next.
 void ClusterNode::process_events(bool may_call_hooks) {
   if (is_processing_) return;
   is_processing_ = true;
@@ -354,7 +354,7 @@
     if (maintenance_agent_)
       maintenance_agent_->run_check(at, hooks_, *applied_rules_, listed_endpoints_, gossip_.own_revision());
     save_baseline();
-    // Before the other brokers learn of the lease, so that the event log has no consequence
+    // The lease is recorded before the other brokers learn of it, so that the event log has no consequence
     // before its cause.
     record_lease();
     while (auto outgoing = config_node_->take_message())
@@ -391,9 +391,9 @@
 }
 
 // Saves the baseline rules before any message goes out. Otherwise a broker that has confirmed the next
-// baseline to the leader and restarts from a store that holds only the previous one would act on more than
-// the versions made since then allow. While the next baseline is pending, the rules saved are those that both
-// baselines allow, under the number of the older one; after a restart the broker requests both again.
+// baseline to the leader and restarts from a store that holds only the previous baseline would do more than
+// the versions made since then allow. While the next baseline is pending, the meet of both baselines is saved
+// under the number of the older baseline; after a restart the broker requests both again.
 void ClusterNode::save_baseline() {
   const auto& holder = config_node_->lease_client();
   const auto& baseline = holder.baseline();
@@ -406,7 +406,8 @@
   if (is_newer && event_log_) event_log_->record_event("keeps").with("ground", baseline.number);
 }
 
-// Records which versions this broker may act on and until when, for the audit of the event logs.
+// Records the versions that this broker may act on, and the end of its lease, for the audit of the event
+// logs.
 void ClusterNode::record_lease() {
   if (!event_log_) return;
   const Time at = now();
@@ -436,8 +437,8 @@
   return zone_failover_->make_due_report(at);
 }
 
-// Without a shared configuration: decides on zones from this broker's own reports, for itself alone, and
-// applies the decision at once.
+// Decides on zones without a shared configuration: from this broker's own reports, for this broker alone, and
+// with immediate effect.
 void ClusterNode::update_standalone_zones() {
   const Time at = now();
   if (!make_due_zone_report(at)) return;
@@ -468,7 +469,7 @@
   if (!report) return;
   std::set<std::string> to(options_.accord->voters.begin(), options_.accord->voters.end());
   if (const auto& leader = config_node_->leader(); !leader.empty())
-    to.insert(leader);  // it may have become a voter later, and so not be in the options
+    to.insert(leader);  // a broker that became a voter later is not in the options
   to.erase(options_.name);
   const std::string bytes = kZoneReportMessage + zone_failover::encode(*report);
   for (const auto& name : to) send_to(name, bytes);
@@ -508,8 +509,8 @@
       .with("note", newest ? newest->note : "");
 }
 
-// Counts the endpoints in service by zone, and how many warm endpoints they are worth: an endpoint that warms
-// up counts for its present share.
+// Counts, by zone, the endpoints in service and the warm endpoints that they are equal to: an endpoint that
+// warms up counts for its present share.
 void ClusterNode::count_endpoints() {
   const Time at = now();
   std::map<std::string, std::pair<int, double>> by_zone;
@@ -540,7 +541,7 @@
   return stays_in_region_.at(static_cast<std::size_t>(request_class));
 }
 
-// An endpoint without a known zone is accounted to the home zone: nothing says that it is elsewhere.
+// An endpoint without a known zone is accounted to the home zone, as no other zone is known for it.
 int ClusterNode::accounted_zone(int zone) const {
   return zone < static_cast<int>(zone_limits_.size()) ? zone : 0;
 }
@@ -568,7 +569,7 @@
   return cross_zone_budget_->is_exhausted(now(), request_class);
 }
 
-// Sets each class's budget to the lower of the configured one and the one that the rules allow.
+// Sets the budget of each class to the configured budget or the one that the rules allow, whichever is lower.
 void ClusterNode::update_cross_zone_budgets() {
   for (std::size_t i = 0; i < request_classes_.size(); ++i) {
     const std::int64_t limit =
@@ -690,10 +691,9 @@
   if (is_list_complete_)
     std::erase_if(listed_endpoints_, [&](const auto& s) { return s.second.list_number != list_number_; });
   is_list_open_ = false;
-  // No hooks may run here: requests would be sent by the old list, for which the
-  // gossip no longer withholds
-  // any endpoint, before the new list has reached the request policy. The caller checks for changes and runs
-  // the dispatcher once the list is applied.
+  // No hooks may run here, because requests would be sent by the old list before the new list has reached the
+  // request policy, and the gossip no longer withholds endpoints from the old list. The caller checks for
+  // changes and runs the dispatcher once the list is applied.
   process_events(false);
 }
 void ClusterNode::list_reset() {
--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -1,4 +1,4 @@
-// This broker as one of a cluster, on the event loop. Connects membership, endpoint gossip, the shared
+// This broker's node of the cluster, on the event loop. Connects membership, endpoint gossip, the shared
 // configuration, zone failover and maintenance to the transport, the store and the event log. Makes no
 // decision of its own.
 #pragma once
@@ -26,6 +26,7 @@
 
 namespace cairnhub::cluster {
 
+// Implements ClusterControl for a broker that belongs to a cluster.
 class ClusterNode : public dispatch::ClusterControl {
  public:
   // Throws std::runtime_error with a one-line message if an address, a key or the folder is not usable.
@@ -34,16 +35,16 @@
   ~ClusterNode() override;
 
   void start();
-  // Whether the broker may accept clients: it has no shared configuration, the leader has answered, or the
-  // configured wait is over.
+  // Returns whether the broker may accept clients: the broker has no shared configuration, the leader has
+  // answered, or the configured wait is over.
   bool is_ready();
   void set_process_hooks(ProcessHooks hooks) { hooks_ = std::move(hooks); }
-  // Reads the key file again. If it is invalid, logs the error and keeps the old keys.
+  // Reads the key file again. If the file is invalid, logs the error and keeps the old keys.
   void reload_keys();
-  // Hands back the lease and the leadership. Call it when a shutdown begins, before the requests in flight
-  // are finished.
+  // Releases the lease and transfers the leadership. Must be called when a shutdown begins, before the
+  // requests in flight are finished.
   void leave();
-  // Leaves the membership. Call it last: until then the other brokers count this one as running.
+  // Leaves the membership. Must be called last: until then the other brokers count this broker as running.
   void announce_departure();
 
   // ClusterControl.
@@ -79,7 +80,7 @@
   bool has_byte_budgets() const override { return cross_zone_budget_ && cross_zone_budget_->has_limits(); }
   bool stays_in_zone(int request_class) override;
 
-  // For AdminApi. The pointers are null where the options configure no such part.
+  // Accessors for AdminApi. A pointer is null if the options don't configure the component.
   const options::Fleet& options() const { return options_; }
   const membership::SwimMembership& membership() const { return membership_; }
   const shared_config::EndpointGossip& gossip() const { return gossip_; }
@@ -87,13 +88,13 @@
   shared_config::SharedConfigNode* shared_config_node() { return config_node_.get(); }
   const MaintenanceAgent* maintenance_agent() const { return maintenance_agent_.get(); }
   const zone_failover::ZoneFailover* zone_failover() const { return zone_failover_.get(); }
-  // Not null only if this broker decides on zones by itself, without a shared configuration.
+  // Returns null unless this broker decides on zones by itself, without a shared configuration.
   const shared_config::VersionHistory* standalone_zone_versions() const {
     return standalone_zone_versions_.get();
   }
   const zone_failover::CrossZoneBudget* cross_zone_budget() const { return cross_zone_budget_.get(); }
   const std::vector<std::string>& request_classes() const { return request_classes_; }
-  // Proposes an entry for the shared log. `done` gets the verdict, or none if there was no verdict in
+  // Proposes an entry for the shared log. `done` gets the verdict, or nothing if there was no verdict in
   // time.
   void propose(shared_config::ConfigEntry entry, shared_config::SharedConfigNode::Done done);
 
@@ -140,13 +141,13 @@
   std::map<std::string, ListedEndpoint> listed_endpoints_;  // by name
   int ring_size_ = 0;
   int replicas_per_shard_ = 0;
-  std::vector<bool> is_remote_only_;     // by shard: no replica is in service in the home zone
+  std::vector<bool> is_remote_only_;     // by shard: true if no replica is in service in the home zone
   std::vector<double> required_shares_;  // by request class
   Time warm_up_time_ = 0;
-  double cold_start_share_ = 1;  // the share of a warm endpoint's capacity that a just started one has
+  double cold_start_share_ = 1;  // capacity of a just started endpoint, as a share of a warm endpoint's
   std::uint64_t list_number_ = 0;
   bool is_list_complete_ = false;
-  std::uint64_t gossip_changes_seen_ = 0;  // when the rules were refreshed last
+  std::uint64_t gossip_changes_seen_ = 0;  // gossip_changes_ when the rules were last refreshed
   std::uint64_t gossip_changes_ = 0;
   std::uint64_t saved_baseline_ = 0;  // version numbers; 0: none
   std::uint64_t saved_next_baseline_ = 0;
@@ -157,7 +158,7 @@
   Time recorded_lease_until_ = 0;  // the lease as last written to the event log
   std::uint64_t recorded_lease_low_ = 0;
   std::uint64_t recorded_lease_high_ = 0;
-  std::set<std::string> recorded_unavailable_;  // endpoints that the event log has as draining or gone
+  std::set<std::string> recorded_unavailable_;  // endpoints recorded as draining or gone in the event log
   bool is_list_open_ = false;                   // between list_begins() and list_ends()
   bool is_processing_ = false;
   bool has_left_ = false;
--- a/src/cluster/maintenance_agent.cpp
+++ b/src/cluster/maintenance_agent.cpp
@@ -23,8 +23,8 @@
   return result;
 }
 
-// Returns the wall clock's time, in which operators state the times of jobs. now() is monotonic and does not
-// follow changes of the wall clock.
+// Returns the time of the wall clock, because operators state the times of jobs in wall-clock time. now() is
+// monotonic and does not follow changes of the wall clock.
 Time wall_now() {
   timespec t{};
   clock_gettime(CLOCK_REALTIME, &t);
@@ -97,9 +97,8 @@
                                  std::uint64_t revision) {
   if (now < controller_.next_check_at()) return;
   controller_.schedule_next_check(now);
-  // Sends no report if the lease that these rules belong to has
-  // expired since: it would prove nothing. The
-  // next check sends one.
+  // Sends no report if the lease that these rules belong to has expired in the meantime, because such a
+  // report would prove nothing. The next check sends a report.
   if (!acting.rules->endpoints_in_maintenance.empty() && hooks.drain_endpoint &&
       acting.low == config_node_.active_config(now)->low) {
     maintenance::MaintenanceMessage message;
@@ -151,8 +150,8 @@
   if (message->stop_for_job) stop_broker(hooks, message->stop_for_job);
 }
 
-// Fails the health check first, so that the load balancer in front notices, and shuts down as on SIGTERM
-// after the configured notice time.
+// Makes the health check fail first, so that load balancers stop sending requests, and shuts down as on
+// SIGTERM after the configured notice time.
 void MaintenanceAgent::stop_broker(const ProcessHooks& hooks, std::uint64_t job) {
   if (is_stopping_ || !hooks.stop) return;
   is_stopping_ = true;
--- a/src/cluster/maintenance_agent.h
+++ b/src/cluster/maintenance_agent.h
@@ -1,8 +1,8 @@
-// This broker's part in maintenance jobs, on the event loop.
+// Handles this broker's side of maintenance jobs, on the event loop.
 //
-// Reports its open attempts at endpoints that are taken out to the leader. At the leader, feeds the
-// maintenance controller with what this broker sees of the cluster and proposes the entries that it returns.
-// Stops the broker if its own machine is taken out. Makes no decision of its own.
+// Reports the broker's open attempts at endpoints that are taken out to the leader. At the leader, passes
+// this broker's view of the cluster to the maintenance controller and proposes the entries that the
+// controller returns. Stops the broker if its own machine is taken out. Makes no decision of its own.
 #pragma once
 #include <functional>
 #include <map>
@@ -22,25 +22,26 @@
 
 namespace cairnhub::cluster {
 
-// What the cluster's code calls in the rest of the broker.
+// Functions of the rest of the broker that the cluster's code calls.
 struct ProcessHooks {
   std::function<void()> rules_changed;  // the rules or the withheld endpoints may have changed
   std::function<void()> request_list;   // requests the complete endpoint list from the agent at once
-  // Returns the number of open attempts at the endpoint; at 0 its connections are closed.
+  // Returns the number of open attempts at the endpoint; closes the endpoint's connections if there are none.
   std::function<int(const std::string& endpoint)> drain_endpoint;
-  std::function<void()> set_not_ready;  // fails the health check from now on
+  std::function<void()> set_not_ready;  // makes the health check fail from now on
   std::function<void()> stop;           // shuts down as on SIGTERM
 };
 
 // An endpoint in this broker's own list.
 struct ListedEndpoint {
-  std::string zone;  // empty: not a configured one
+  std::string zone;  // empty: not in a configured zone
   int ring_position = 0;
   Time started_at = 0;  // 0: long ago
   bool is_ready = false;
-  std::uint64_t list_number = 0;  // of the last list that names it
+  std::uint64_t list_number = 0;  // number of the last list that names the endpoint
 };
 
+// Runs the maintenance controller's checks and carries out their results.
 class MaintenanceAgent {
  public:
   // Sends bytes to a broker by name.
@@ -56,15 +57,16 @@
   // next check is due.
   // @param acting    the rules that the request path acts on
   // @param listed    the endpoints of this broker's own list, by name
-  // @param revision  of that list; 0: none has arrived yet
+  // @param revision  revision of this broker's own list; 0: no list has arrived yet
   void run_check(Time now, const ProcessHooks& hooks, const shared_config::ActiveConfig& acting,
                  const std::map<std::string, ListedEndpoint>& listed, std::uint64_t revision);
   void handle_message(Time now, const ProcessHooks& hooks, const std::string& from, std::string_view bytes);
   void forget_broker(const std::string& broker) { controller_.forget_broker(broker); }
-  // Writes the jobs whose state has changed to the event log. Call it when an entry on jobs was applied.
+  // Writes the jobs whose state has changed to the event log. Must be called when an entry on jobs was
+  // applied.
   void record_job_changes();
 
-  // The jobs as this broker's copy of the log has them; null if it keeps no copy.
+  // Returns the jobs in this broker's copy of the log; null if the broker keeps no copy.
   const maintenance::JobQueue* job_queue() const;
   const maintenance::MaintenanceController& controller() const { return controller_; }
 
@@ -83,8 +85,8 @@
   int ring_size_;
   int replicas_per_shard_;
   Time warm_up_time_;
-  std::map<std::uint64_t, maintenance::JobState>
-      recorded_states_;  // by job, as last written to the event log
+  // The states last written to the event log, by job.
+  std::map<std::uint64_t, maintenance::JobState> recorded_states_;
   Timer stop_timer_;
   std::function<void()> stop_;
   bool is_stopping_ = false;
