--- a/src/cli/accord.cpp
+++ b/src/cli/accord.cpp
@@ -129,7 +129,7 @@
 }
 
 // @param history the response of /accord/history
-// @return the rules of one version, as text; nothing where the broker doesn't know the version
+// @return the rules of one version, as text; nothing if the broker doesn't know the version
 std::optional<std::string> rules_of_version(const json& history, std::uint64_t number) {
   for (const auto& version : history["versions"]) {
     if (version["number"].get<std::uint64_t>() == number) return version["rules"].get<std::string>();
@@ -187,8 +187,8 @@
 }
 
 // Proposes rules as the next version or the next baseline.
-// @param undo_of the version whose rules are proposed again, on top of the newest; 0: read the rules from the
-//   file
+// @param undo_of the version whose rules are proposed again, based on the newest version; 0: read the rules
+//   from the file
 int propose_rules(ClientOptions options, bool is_baseline, std::uint64_t undo_of) {
   int status = kSuccess;
   const auto history = fetch(options, "/accord/history", status);
@@ -219,8 +219,8 @@
 }
 
 // Opens the store in the folder that the options state. The broker must be stopped.
-// @param voter_id for a store that is created here
-// @throws std::runtime_error where the options state no folder
+// @param voter_id the voter id for a store that is created here
+// @throws std::runtime_error if the options state no folder
 std::unique_ptr<shared_config::Kept> open_store(const options::Options& broker_options,
                                                 std::uint64_t voter_id) {
   if (!broker_options.fleet || !broker_options.fleet->accord || broker_options.fleet->accord->folder.empty())
@@ -255,7 +255,8 @@
   return kSuccess;
 }
 
-// Makes the voter in the folder the only one, after a majority of voters is lost for good.
+// Makes the voter whose store is in the folder the only voter, after a majority of voters is lost
+// permanently.
 int recover(const ClientOptions& options) {
   if (!options.confirms_majority_lost) {
     return report_error(
--- a/src/cli/accord.h
+++ b/src/cli/accord.h
@@ -9,7 +9,7 @@
 namespace cairnhub::cli {
 
 // Adds both sub-commands.
-// @param status set, when one of them is parsed, to its exit status (operator.h); must outlive `app`
+// @param status set to the exit status (operator.h) of the sub-command that is parsed; must outlive `app`
 void add_accord(CLI::App& app, int& status);
 
 }  // namespace cairnhub::cli
--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -24,8 +24,8 @@
 
 namespace {
 
-// Tells a configuration from options by its first character: a configuration is JSON and begins with a brace,
-// and options never do.
+// Distinguishes a configuration from options by the first character: a configuration is JSON and begins with
+// a brace, and options never begin with a brace.
 bool is_configuration(const std::string& file) {
   std::ifstream in(file, std::ios::binary);
   char c = 0;
@@ -35,8 +35,8 @@
   return false;
 }
 
-// The `check` sub-command: validates each file as `serve` does and prints one line for it. Options are
-// checked against the configuration named last before them.
+// Runs the `check` sub-command: validates each file as `serve` does and prints one line for each file.
+// Options are checked against the last configuration named before them.
 // @return the exit status
 int check(const std::vector<std::string>& files) {
   int error_count = 0;
--- a/src/cli/operator.cpp
+++ b/src/cli/operator.cpp
@@ -28,7 +28,7 @@
 
 // Sends one request and waits for the response.
 // @param address host:port
-// @param body empty: the request is a GET; else a POST
+// @param body the body of a POST; empty: the request is a GET
 HttpResponse send_request(const std::string& address, const std::string& path, const std::string& body) {
   struct State {
     event_base* base;
@@ -63,7 +63,7 @@
   return state.response;
 }
 
-// @return the address of the admin API; empty: none is stated
+// @return the address of the admin API; empty if neither the options file nor the command line states one
 std::string admin_address(const ClientOptions& client_options) {
   if (!client_options.address.empty()) return client_options.address;
   if (client_options.options_path.empty()) return "";
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -49,7 +49,7 @@
   event* event_;
 };
 
-// Answers the search frontend's questions about endpoints from the endpoint registry.
+// Gives the search frontend access to the endpoint registry.
 class EndpointRegistryView : public frontend::opensearch::EndpointView {
  public:
   EndpointRegistryView(const dispatch::EndpointRegistry& endpoints, const settings::Settings& settings)
@@ -69,7 +69,7 @@
  private:
   const dispatch::EndpointRegistry& endpoints_;
   int ring_positions_;
-  int replicas_;  // of each shard
+  int replicas_;  // replicas of each shard
 };
 
 }  // namespace
@@ -157,7 +157,7 @@
            [&broker](const std::string& endpoint) { return broker.drain_endpoint(endpoint); },
            [&broker] { broker.set_not_ready(); }, shut_down});
     }
-    // A configuration that is missing, half written or invalid is ignored as a whole.
+    // A configuration file that is missing, incomplete or invalid changes nothing.
     const SignalWatcher reload(base, SIGHUP, [&] {
       if (cluster_node) cluster_node->reload_keys();
       try {
--- a/src/cli/serve.h
+++ b/src/cli/serve.h
@@ -4,8 +4,8 @@
 
 namespace cairnhub::cli {
 
-// Reads the configuration and the options, and runs a broker. SIGTERM shuts it down; SIGHUP reloads the
-// configuration.
+// Reads the configuration and the options, and runs a broker. SIGTERM shuts the broker down; SIGHUP reloads
+// the configuration.
 // @param options_path empty: the broker runs without options
 // @return the exit status
 int serve(const std::string& config_path, const std::string& options_path);
--- a/src/cli/upkeep.cpp
+++ b/src/cli/upkeep.cpp
@@ -19,7 +19,7 @@
 
 constexpr double kMaxDurationMs = 31.0 * 86400000;
 
-// Values of the options of `upkeep request`. Durations are in the form that the user wrote.
+// Values of the options of `upkeep request`. Durations are the text that the user wrote.
 struct JobRequest {
   ClientOptions client;
   std::vector<std::string> endpoints;
@@ -36,7 +36,7 @@
 };
 
 // Parses a duration, such as "90s", "20m", "2h" or "1d"; a number without a unit is in seconds.
-// @return false where `duration` can't be parsed or is longer than 31 days; `ms` is then unchanged
+// @return false if `duration` can't be parsed or is longer than 31 days; `ms` is then unchanged
 bool parse_duration(const std::string& duration, long long& ms) {
   std::size_t number_length = 0;
   double number = 0;
@@ -57,7 +57,7 @@
   return true;
 }
 
-// @param ms since the Unix epoch
+// @param ms milliseconds since the Unix epoch
 // @return month, day and time of day in UTC
 std::string utc_time(long long ms) {
   const time_t seconds = static_cast<time_t>(ms / 1000);
@@ -68,8 +68,8 @@
   return buffer;
 }
 
-// Fetches the maintenance jobs, which the leader alone knows.
-// @param status as of `fetch`
+// Fetches the maintenance jobs, which only the leader knows.
+// @param status as in `fetch`
 std::optional<json> fetch_jobs(const ClientOptions& options, int& status) {
   auto response = fetch(options, "/upkeep", status);
   if (!response) return response;
@@ -162,8 +162,8 @@
 int request_job(const JobRequest& request) {
   const auto now_ms = static_cast<long long>(time(nullptr)) * 1000;
   long long duration_ms = 0;
-  long long earliest_ms = 0;  // from now
-  long long latest_ms = 0;    // from now
+  long long earliest_ms = 0;  // counted from now
+  long long latest_ms = 0;    // counted from now
   if (!parse_duration(request.duration, duration_ms) || duration_ms == 0) {
     return report_error(kInvalidArguments,
                         "--for is '" + request.duration + "'; allowed is a span as 90s, 20m or 2h");
@@ -227,7 +227,7 @@
 }
 
 // Proposes to hold, resume, cancel or finish a maintenance job.
-// @param action the key of the job's number in the proposal
+// @param action the action, which is also the key under which the proposal holds the job's number
 int propose_job_action(const ClientOptions& options, const char* action) {
   return submit_proposal(options, {{"kind", "work"},
                                    {action, options.number},
--- a/src/cli/upkeep.h
+++ b/src/cli/upkeep.h
@@ -1,5 +1,5 @@
-// The `upkeep` sub-command: maintenance jobs, for which machines are taken out of service one after the
-// other.
+// The `upkeep` sub-command: lists, requests and changes maintenance jobs, for which machines are taken out of
+// service one after the other.
 #pragma once
 
 namespace CLI {
@@ -9,7 +9,7 @@
 namespace cairnhub::cli {
 
 // Adds the sub-command.
-// @param status set, when it is parsed, to its exit status (operator.h); must outlive `app`
+// @param status set to the sub-command's exit status (operator.h) if it is parsed; must outlive `app`
 void add_upkeep(CLI::App& app, int& status);
 
 }  // namespace cairnhub::cli
--- a/src/cli/zones.cpp
+++ b/src/cli/zones.cpp
@@ -123,7 +123,7 @@
 }
 
 // Proposes an order for one zone.
-// @param action of the order; empty ends the zone's order
+// @param action the order's action; an empty action ends the zone's order
 int propose_zone_order(const ClientOptions& options, const char* action) {
   int status = kSuccess;
   const auto response = fetch(options, "/zones", status);
--- a/src/cli/zones.h
+++ b/src/cli/zones.h
@@ -1,4 +1,5 @@
-// The `zones` sub-command: traffic between zones, the reasons for it, and operators' orders that move it.
+// The `zones` sub-command: traffic between zones, the reasons for it, and operators' orders that move
+// traffic.
 #pragma once
 
 namespace CLI {
@@ -8,7 +9,7 @@
 namespace cairnhub::cli {
 
 // Adds the sub-command.
-// @param status set, when it is parsed, to its exit status (operator.h); must outlive `app`
+// @param status set to the sub-command's exit status (operator.h) if it is parsed; must outlive `app`
 void add_zones(CLI::App& app, int& status);
 
 }  // namespace cairnhub::cli
