--- a/src/backend/framed/frame_codec.h
+++ b/src/backend/framed/frame_codec.h
@@ -11,7 +11,7 @@
 namespace cairnhub::backend::framed {
 
 constexpr std::size_t kLengthBytes = 4;
-// A longer frame from an endpoint is invalid: no body sent to a client is longer.
+// A longer frame from an endpoint is invalid, because no body sent to a client is longer.
 constexpr std::size_t kMaxFrameBytes = 65536 + 1024;
 
 // Builds the frame of a batch, whose shard requests the endpoint runs together.
@@ -26,7 +26,7 @@
   std::string payload_;
 };
 
-// Returns the frame that tells an endpoint to cancel a shard request.
+// Returns the frame that requests an endpoint to cancel a shard request.
 std::string encode_cancel(std::string_view name);
 
 // Decodes a frame's length from its first kLengthBytes bytes.
@@ -38,7 +38,8 @@
   Status status;
   std::string_view name, value;
 };
-// Parses a frame without its length. Returns none unless it is a well-formed result of a shard request.
+// Parses a frame without its length. Returns nothing unless the frame is a well-formed result of a shard
+// request.
 std::optional<ShardResult> parse_shard_result(std::string_view frame);
 
 }  // namespace cairnhub::backend::framed
--- a/src/backend/framed/framed_client.cpp
+++ b/src/backend/framed/framed_client.cpp
@@ -16,23 +16,24 @@
 
 namespace {
 
-// No further batch is buffered for writing while this many bytes are unwritten, so that it can be withdrawn.
+// While this many bytes are unwritten, no further batch is buffered for writing, so that the batch can still
+// be withdrawn.
 constexpr std::size_t kMaxBufferedBytes = 16384;
 // A connection that left attempts unanswered for longer than this fraction of the connect timeout gets no new
-// ones: a new connection would be established sooner.
+// attempts, because a new connection would be established sooner.
 constexpr Time kSilenceDivisor = 2;
-// Cancelled names that a connection remembers, because a result may cross the cancel frame.
+// A connection remembers this many cancelled names, because a result may cross the cancel frame.
 constexpr std::size_t kMaxCancelledNames = 256;
-// A connection is closed when more unwritten bytes than this remain after a cancel frame: the endpoint does
-// not read.
+// A connection is closed if more unwritten bytes than this remain after a cancel frame, because the endpoint
+// does not read.
 constexpr std::size_t kMaxUnreadBytes = 262144;
 
 }  // namespace
 
-// Attempts sent in one frame.
+// The attempts sent in one frame.
 struct FramedClient::Batch {
-  std::vector<InFlightAttempt*> attempts;  // those that have not ended
-  std::uint64_t end_offset = 0;            // of the frame in the connection's output; 0 until it is buffered
+  std::vector<InFlightAttempt*> attempts;  // attempts that have not ended
+  std::uint64_t end_offset = 0;  // end of the frame in the connection's output; 0 until the frame is buffered
 };
 
 struct FramedClient::InFlightAttempt {
@@ -51,7 +52,7 @@
     std::size_t name_hash;
     dispatch::TrafficAccount account;
   };
-  // Bytes that are buffered and may not be written yet; kept only where bytes are counted.
+  // Bytes that are buffered and may not be written yet; kept only if bytes are counted.
   struct BufferedSpan {
     std::uint64_t end_offset;
     std::size_t bytes;
@@ -63,16 +64,16 @@
   bufferevent* bev = nullptr;
   bool is_connected = false;
   std::uint64_t buffered_bytes = 0;  // since the connection was opened
-  std::uint64_t counted_bytes = 0;   // those of the buffered bytes that spans were made of
+  std::uint64_t counted_bytes = 0;   // buffered bytes for which spans were added
   std::list<std::unique_ptr<Batch>> waiting, buffered;
-  // By the names that the endpoint knows; must not be iterated over.
+  // Attempts by the names sent to the endpoint; must not be iterated over.
   std::unordered_map<std::string_view, InFlightAttempt*> attempts_by_name;
   std::unique_ptr<Timer> connect_or_idle_timer;  // connect timeout, then idle timeout
   std::unique_ptr<Timer> frame_timer;            // runs while a frame is incomplete
   Time idle_since = 0;                           // when the last batch ended, on a connection without batches
   Time silence_counted_to = 0;                   // the last valid frame, or the time that silence includes
   Time silence = 0;                              // spent on unanswered attempts since the last valid frame
-  int unanswered_attempts = 0;                   // aborted since the last valid frame
+  int unanswered_attempts = 0;                   // attempts aborted since the last valid frame
   std::deque<CancelledName> cancelled_names;     // oldest first
   std::deque<BufferedSpan> spans;                // oldest first
   std::string last_result_name;
@@ -84,9 +85,10 @@
                                  });
     return it == cancelled_names.end() ? nullptr : &*it;
   }
-  // Records an aborted attempt. A connection can be dead though its endpoint is alive, as after a corrupted
-  // frame or a network cut. Each attempt sent on it would be lost, and the endpoint would look hung for
-  // good. In return, a slow endpoint costs a handshake now and then.
+  // Records an aborted attempt. A connection can be dead although its endpoint is alive, as after a corrupted
+  // frame or a network failure. Each attempt sent on the connection would be lost, and the endpoint would
+  // appear to hang permanently. The cost of replacing such connections is an occasional handshake with a slow
+  // endpoint.
   void record_unanswered(Time sent_at) {
     const Time at = now();
     ++unanswered_attempts;
@@ -98,9 +100,10 @@
     return unanswered_attempts > 1 && silence > client->limits_.connect_timeout / kSilenceDivisor;
   }
   std::size_t batch_count() const { return waiting.size() + buffered.size(); }
-  // The endpoint may close an idle connection just as it is used again. A batch written then is lost, and as
-  // far as the broker knows may have run. Bytes received on an idle connection are no result, unless an
-  // attempt was cancelled on it: such a connection is read first. The check costs a system call per batch.
+  // The endpoint may close an idle connection just as the connection is used again. A batch written at that
+  // moment is lost, and the broker can't know whether it has run. Bytes received on an idle connection are
+  // not a result, unless an attempt was cancelled on the connection: then the connection is read first. The
+  // check costs a system call per batch.
   bool is_reusable() const {
     if (!is_connected) return true;
     const bool expects_bytes = batch_count() > 0 || !cancelled_names.empty();
@@ -141,7 +144,8 @@
   slot->name = name;
   slot->address = address;
   if (state == EndpointState::kReady) return;
-  // A batch that waits for its connection would be written long after the endpoint stated that it drains.
+  // Batches that wait for their connection are withdrawn: they would be written long after the endpoint
+  // stated that it drains.
   std::vector<InFlightAttempt*> withdrawn = slot->to_flush;
   for (auto& connection : slot->connections)
     for (auto& batch : connection->waiting)
@@ -196,7 +200,7 @@
     for (std::size_t i = 0; i < attempts.size();) {
       const std::size_t batch_end = std::min(attempts.size(), i + limits_.max_shard_requests_per_batch);
       Connection* connection = connection_for_batch(*pool);
-      if (!connection) {  // no more may be opened: not the endpoint's fault, and nothing has run
+      if (!connection) {  // at the limit of connections: the endpoint isn't at fault, and nothing has run
         for (; i < batch_end; ++i)
           finish(*attempts[i],
                  {dispatch::AttemptEnd::kCancelled, dispatch::WriteProgress::kNotConnected, {}});
@@ -216,9 +220,9 @@
   }
 }
 
-// Returns the connection to the endpoint's current address with the fewest batches, where it may carry one
-// more; otherwise a new connection; and when none can be opened, the one with the fewest batches all the
-// same.
+// Returns, of the connections to the endpoint's current address, the one with the fewest batches if it may
+// carry another batch; otherwise a new connection. If no connection can be opened, returns the one with the
+// fewest batches even though it is full.
 FramedClient::Connection* FramedClient::connection_for_batch(EndpointPool& pool) {
   Connection* fewest = nullptr;
   for (auto& connection : pool.connections)
@@ -232,9 +236,9 @@
   return opened ? opened : fewest;
 }
 
-// Closes no connection where each carries batches. With more endpoints than connections, the endpoints used
-// first would otherwise hold all connections until the idle timeout, and each attempt at another endpoint
-// would fail at once.
+// Closes the connection that has been idle longest, or none if all carry batches. With more endpoints than
+// connections, the endpoints used first would otherwise hold all connections until the idle timeout, and each
+// attempt at another endpoint would fail at once.
 void FramedClient::close_longest_idle_connection() {
   Connection* longest = nullptr;
   for (auto& [id, pool] : pools_)
@@ -258,7 +262,7 @@
     run_actions_();
   });
   // An endpoint that never completes a frame sends no further results on this connection, and the attempts
-  // on it would wait in vain.
+  // on the connection would wait until their own timeouts.
   connection->frame_timer = std::make_unique<Timer>(base_, [this, connection] {
     close_connection(*connection, "frame not completed within the time limit",
                      dispatch::AttemptEnd::kInvalidResponse);
@@ -316,9 +320,9 @@
                                                          : "connection refused");
 }
 
-// A connection may be established late. By then an attempt may have expired, and the endpoint would be told a
-// timeout that has passed; or the endpoint may no longer drop repeats, and the attempt could take effect
-// twice.
+// Aborts the waiting attempts that have expired or may no longer begin. A connection may be established late.
+// By then the timeout that an attempt would state to the endpoint may have passed; or the endpoint may no
+// longer drop repeats, and the attempt could take effect twice.
 void FramedClient::abort_expired(Connection& connection) {
   std::vector<std::pair<InFlightAttempt*, dispatch::AttemptEnd>> expired;
   const Time at = now();
@@ -341,7 +345,8 @@
     std::unique_ptr<Batch> batch = std::move(connection.waiting.front());
     connection.waiting.pop_front();
     framed::BatchFrame frame;
-    std::vector<std::size_t> payload_ends;  // of the attempts, where bytes are counted
+    std::vector<std::size_t>
+        payload_ends;  // ends of the attempts' payloads; filled only if bytes are counted
     for (InFlightAttempt* in_flight : batch->attempts) {
       const dispatch::ShardRequest& shard_request = *in_flight->attempt->shard_request;
       const std::string& body = shard_request.body ? *shard_request.body : shard_request.request->body;
@@ -367,7 +372,8 @@
   }
 }
 
-// Counts the bytes now, and remembers them: close_connection() subtracts those that were never written.
+// Counts the bytes now and records them, so that close_connection() can subtract the bytes that were never
+// written.
 void FramedClient::count_buffered_bytes(Connection& connection, const dispatch::Attempt& attempt,
                                         std::size_t bytes) {
   if (!byte_counter_) return;
@@ -416,8 +422,8 @@
     byte_counter_(
         {connection.pool->id, account, 0, static_cast<long long>(frame.size() + framed::kLengthBytes)});
   }
-  // A result for an ended attempt is dropped: it crossed the cancel frame, or repeats the last result. One
-  // for an unknown attempt replaced a result that is still expected, and the endpoint won't send that one.
+  // A result for an ended attempt is dropped: it crossed the cancel frame, or repeats the last result. A
+  // result for an unknown attempt was sent in place of a result that is still expected and will not arrive.
   if (it == connection.attempts_by_name.end())
     return cancelled || result->name == connection.last_result_name ? nullptr
                                                                     : "result for an unknown shard request";
@@ -425,7 +431,7 @@
   connection.silence = 0;
   connection.unanswered_attempts = 0;
   connection.last_result_name = result->name;
-  // Where a cancelled name was used again, the value may belong to the earlier attempt.
+  // If a cancelled name was used again, the value may belong to the earlier attempt.
   const dispatch::AttemptEnd end =
       cancelled                                                   ? dispatch::AttemptEnd::kError
       : result->status == framed::ShardResult::Status::kReturned  ? dispatch::AttemptEnd::kReturned
@@ -449,8 +455,9 @@
     abort_attempt(*it->second, dispatch::AttemptEnd::kCancelled);
 }
 
-// Ends an attempt before its result: withdraws it where its frame is not buffered, else sends a cancel frame.
-// A buffered frame is written to its end, and may run though its last byte was not written at this time.
+// Ends an attempt before its result: withdraws the attempt if its frame is not buffered, else sends a cancel
+// frame. A buffered frame is written to its end, so the attempt may run even if the frame's last byte was not
+// written at this time.
 void FramedClient::abort_attempt(InFlightAttempt& in_flight, dispatch::AttemptEnd end) {
   const bool is_buffered = in_flight.is_buffered();
   if (is_buffered) {
@@ -473,7 +480,7 @@
     close_connection(*connection, "endpoint does not read");
 }
 
-// Every attempt ends here.
+// Ends an attempt and reports the result; called for every attempt.
 void FramedClient::finish(InFlightAttempt& in_flight, const dispatch::AttemptResult& result) {
   dispatch::Attempt& attempt = *in_flight.attempt;
   std::erase(in_flight.pool->to_flush, &in_flight);
--- a/src/backend/framed/framed_client.h
+++ b/src/backend/framed/framed_client.h
@@ -14,6 +14,7 @@
 
 namespace cairnhub::backend {
 
+// Limits and timeouts of a FramedClient.
 struct FramedClientLimits {
   int max_batches_per_connection, max_shard_requests_per_batch;
   Time connect_timeout, idle_timeout;
@@ -54,7 +55,7 @@
   void handle_event(Connection& connection, short events);
   // Returns why the frame is invalid, or null.
   const char* handle_frame(Connection& connection, std::string_view frame);
-  // @param reason for the log; null where the connection isn't at fault
+  // @param reason logged; null if the connection isn't at fault
   void close_connection(Connection& connection, const char* reason,
                         dispatch::AttemptEnd end = dispatch::AttemptEnd::kConnectionLost);
   void finish(InFlightAttempt& in_flight, const dispatch::AttemptResult& result);
@@ -69,7 +70,7 @@
   std::size_t open_connections_ = 0;
   std::map<EndpointId, std::unique_ptr<EndpointPool>> pools_;
   std::map<dispatch::Attempt*, std::unique_ptr<InFlightAttempt>> in_flight_;
-  std::vector<EndpointPool*> pools_to_flush_;  // in the order in which this turn first sent to them
+  std::vector<EndpointPool*> pools_to_flush_;  // in the order of their first attempt in this turn
 };
 
 }  // namespace cairnhub::backend
--- a/src/backend/opensearch/search_client.cpp
+++ b/src/backend/opensearch/search_client.cpp
@@ -21,7 +21,7 @@
 struct SearchClient::InFlightAttempt {
   dispatch::Attempt* attempt = nullptr;
   EndpointPool* pool = nullptr;
-  Connection* connection = nullptr;  // null while the attempt waits for one
+  Connection* connection = nullptr;  // null while the attempt waits for a connection
   std::unique_ptr<Timer> timeout;
 };
 
@@ -31,9 +31,9 @@
   evhttp_connection* http = nullptr;
   evhttp_request* request = nullptr;
   InFlightAttempt* in_flight = nullptr;
-  // Of the current request.
+  // Bytes of the current request.
   std::size_t queued_bytes = 0, written_bytes = 0;
-  std::size_t received_bytes = 0;  // only where bytes are counted
+  std::size_t received_bytes = 0;  // counted only if a byte counter is set
   int error = -1;                  // evhttp_request_error, or -1
   Time idle_since = 0;
 
@@ -113,7 +113,8 @@
   pool.host = host;
   pool.port = ntohs(is_ipv6 ? in6->sin6_port : in->sin_port);
   if (state == EndpointState::kReady) return;
-  // An attempt that waits for a connection would be sent long after the endpoint stated that it drains.
+  // Attempts that wait for a connection are withdrawn: they would be sent long after the endpoint stated that
+  // it drains.
   std::vector<InFlightAttempt*> withdrawn(pool.waiting.begin(), pool.waiting.end());
   withdrawn.insert(withdrawn.end(), pool.to_flush.begin(), pool.to_flush.end());
   for (InFlightAttempt* in_flight : withdrawn) abort_attempt(*in_flight, dispatch::AttemptEnd::kCancelled);
@@ -249,8 +250,8 @@
   const dispatch::AttemptEnd end = status == 200                    ? dispatch::AttemptEnd::kReturned
                                    : status == 429 || status == 503 ? dispatch::AttemptEnd::kQueueFull
                                                                     : dispatch::AttemptEnd::kError;
-  // An endpoint may refuse a request before it has read all of it. The rest would then be taken for the start
-  // of the next request.
+  // An endpoint may refuse a request before reading all of it. If the connection were reused, the endpoint
+  // would take the rest for the start of the next request.
   const bool is_reusable = connection.is_fully_written();
   EndpointPool& pool = *connection.pool;
   finish(*in_flight, {end, dispatch::WriteProgress::kFullyWritten, value});
@@ -301,7 +302,7 @@
   start_waiting(pool);
 }
 
-// Every attempt ends here.
+// Ends an attempt and reports the result; called for every attempt.
 void SearchClient::finish(InFlightAttempt& in_flight, const dispatch::AttemptResult& result) {
   std::erase(in_flight.pool->to_flush, &in_flight);
   std::erase(in_flight.pool->waiting, &in_flight);
@@ -318,7 +319,8 @@
   on_attempt_ended_(*in_flight.attempt, result);
 }
 
-// Stops all reading and writing on a connection at once. It is freed later, outside libevent's callbacks.
+// Stops all reading and writing on a connection at once. The connection is freed later, outside libevent's
+// callbacks.
 void SearchClient::close_connection(Connection& connection) {
   if (connection.request) evhttp_cancel_request(std::exchange(connection.request, nullptr));
   bufferevent* bev = evhttp_connection_get_bufferevent(connection.http);
--- a/src/backend/opensearch/search_client.h
+++ b/src/backend/opensearch/search_client.h
@@ -1,6 +1,6 @@
 // Client of endpoints that speak the OpenSearch-style search API: one HTTP/1.1 request for each shard
 // request, on pooled connections. An attempt is cancelled by closing its connection, which such endpoints
-// take for a client that has gone. Outcomes, in the terms of dispatch::AttemptEnd:
+// handle as the client's disconnection. Outcomes, as dispatch::AttemptEnd:
 //
 //   200                                  kReturned, with the body as the value
 //   429, 503                             kQueueFull: refused, has not run
@@ -8,7 +8,7 @@
 //   connection refused, or lost          kConnectionLost: may have run only if the request's last byte was
 //                                        written
 //   head or body not HTTP, or too long   kInvalidResponse: may have run
-//   no whole response in time            kTimedOut: may have run only if the request's last byte was written
+//   no complete response in time         kTimedOut: may have run only if the request's last byte was written
 #pragma once
 #include <event2/util.h>
 
@@ -25,10 +25,11 @@
 
 namespace cairnhub::backend {
 
+// Limits and the timeout of a SearchClient.
 struct SearchClientLimits {
   std::size_t max_connections_per_endpoint;  // each carries one attempt
   std::size_t max_connections;               // to all endpoints together
-  std::size_t max_body_bytes;                // of a response
+  std::size_t max_body_bytes;                // longest body of a response
   Time idle_timeout;
 };
 
@@ -57,7 +58,8 @@
   struct InFlightAttempt;
 
   void start_request(InFlightAttempt& in_flight, Connection& connection);
-  Connection* idle_connection(EndpointPool& pool);  // opens one where allowed; null if none is free
+  // Returns an idle connection, or opens one if the limits allow it; null otherwise.
+  Connection* idle_connection(EndpointPool& pool);
   void handle_response(Connection& connection, evhttp_request* response);
   void handle_failure(Connection& connection, int error);
   void abort_attempt(InFlightAttempt& in_flight, dispatch::AttemptEnd end);
--- a/src/cli/upkeep.cpp
+++ b/src/cli/upkeep.cpp
@@ -68,7 +68,8 @@
   return buffer;
 }
 
-// Fetches the maintenance jobs, which only the leader knows.
+// Fetches the maintenance jobs. Fails at a broker that isn't the leader, because only the leader's response
+// has the reasons why jobs wait and their planned starts.
 // @param status as in `fetch`
 std::optional<json> fetch_jobs(const ClientOptions& options, int& status) {
   auto response = fetch(options, "/upkeep", status);
