--- a/src/frontend/http/http_server.cpp
+++ b/src/frontend/http/http_server.cpp
@@ -24,21 +24,24 @@
 
 constexpr std::size_t kMaxHeaderBytes = 16384;
 constexpr std::size_t kMaxBodyBytes = 65536;
-// The most that is buffered before the parser consumes it: a whole body, or a chunk with its length.
+// At most this many bytes are buffered before the parser consumes them: a complete body, or a chunk with its
+// length.
 constexpr std::size_t kMaxInputBytes = kMaxBodyBytes + kMaxHeaderBytes;
 // A connection without any traffic is closed after this time, whatever its state.
 constexpr int kInactivityTimeoutSeconds = 10;
-// From accepting to the first complete request, and from the first byte to the last of any later one.
+// Time limit from accepting to the first complete request, and from the first to the last byte of each later
+// request.
 constexpr Time kRequestReadTimeout = 2400 * kSecond / 1000;
-// From accepting to the first byte, while accepting is paused.
+// Time limit from accepting to the first byte while accepting is paused.
 constexpr Time kFirstByteTimeoutPaused = 250 * kSecond / 1000;
 constexpr Time kSweepInterval = 50 * kSecond / 1000;
-// A disconnection must be noticed within 0.1 s. No event reports it behind early bytes, so it is polled for.
+// A disconnection must be noticed within 0.1 s. While early bytes are unread, no event reports the
+// disconnection, so the connection is checked at this interval.
 constexpr Time kEarlyBytesCheckInterval = 20 * kSecond / 1000;
-// While the process shuts down: from accepting to the first byte.
+// Time limit from accepting to the first byte while the process shuts down.
 constexpr Time kFirstByteTimeoutClosing = 250 * kSecond / 1000;
-// While the process shuts down: how long pipelined requests are answered before their connection is closed
-// regardless.
+// While the process shuts down, pipelined requests are answered for this long before their connection is
+// closed.
 constexpr Time kPipelineTimeoutClosing = kSecond;
 
 int socket_of(evhttp_connection* connection) {
@@ -55,13 +58,13 @@
   ioctl(socket_of(connection), FIONREAD, &bytes);
   return bytes;
 }
-// Whether the socket holds bytes that the next turn of the loop reads. Closing the connection over them would
-// reset it and lose the request that they complete.
+// Returns whether the socket holds bytes that the next turn of the loop reads. Closing the connection before
+// that would reset it and lose the request that these bytes complete.
 bool is_about_to_read(evhttp_connection* connection) {
   return unread_bytes(connection) > 0 && input_length(connection) < kMaxInputBytes;
 }
-// Checks the headers that delimit the request's body. Where two readers could find its end at different
-// places, another request could be smuggled in the body.
+// Checks the headers that delimit the request's body. If two readers could find the end of the body at
+// different places, another request could be smuggled in the body.
 // @return what is wrong, or null
 const char* find_framing_error(evhttp_request* request) {
   const char* length = nullptr;
@@ -88,20 +91,20 @@
 
 }  // namespace
 
-// The state of one connection, from its acceptance on.
+// The state of one connection since it was accepted.
 struct HttpServer::ClientState {
   HttpServer* server;
   evhttp_connection* connection;
   event* departure = nullptr;         // active while a request is in flight
-  evhttp_request* request = nullptr;  // in flight
+  evhttp_request* request = nullptr;  // the request in flight
   ConnectionResponder* responder = nullptr;
-  std::function<void()> abandon = {};  // abandons the request in flight; empty where there is none
-  bool has_sent_request = false;       // at least one complete request
-  Time idle_since = now();             // accepted, or last responded to
+  std::function<void()> abandon = {};  // abandons the request in flight; empty if there is none
+  bool has_sent_request = false;       // the client has sent at least one complete request
+  Time idle_since = now();             // time of the last response, or of the acceptance
   Time request_began_at = 0;           // first byte of an incomplete request; 0: there is none
-  bool has_early_bytes = false;        // unread at the socket while a request is in flight
+  bool has_early_bytes = false;        // bytes are unread at the socket while a request is in flight
   ArrivalTimes arrival_times = {};
-  std::size_t incomplete_bytes = 0;  // of incomplete requests, in whichever buffer
+  std::size_t incomplete_bytes = 0;  // bytes of incomplete requests, in all buffers
 
   void set_incomplete_bytes(std::size_t bytes) {
     server->incomplete_bytes_ += bytes - incomplete_bytes;
@@ -109,7 +112,7 @@
   }
 
   ~ClientState();
-  // Whether there is no request, complete or not, and nothing left to write.
+  // Returns whether there is no request, complete or not, and nothing left to write.
   bool is_idle() const { return !request && !request_began_at && output_length(connection) == 0; }
   static void on_bytes(evbuffer*, const evbuffer_cb_info* info, void* context) {
     if (info->n_added == 0) return;
@@ -270,12 +273,12 @@
   return *slot;
 }
 
-// Gives new connections their state and closes those that have timed out or exceed a limit.
+// Creates the state of new connections and closes the connections that have timed out or exceed a limit.
 void HttpServer::sweep() {
   is_sweep_due_ = false;
   for (bufferevent* bev : std::exchange(new_connections_, {})) {
-    // evhttp reports a connection only with its first request, and most of those to close never send one.
-    // Its connection object is the context of its own callbacks.
+    // evhttp reports a connection only with its first request, and most connections that must be closed never
+    // send a request. The evhttp_connection is the context of the callbacks that evhttp sets.
     void* connection = nullptr;
     bufferevent_getcb(bev, nullptr, nullptr, nullptr, &connection);
     if (connection) client_of(static_cast<evhttp_connection*>(connection));
@@ -284,14 +287,14 @@
   update_accepting();
   limit_incomplete_requests();
   close_where([this](const ClientState& client) { return has_timed_out(client); });
-  // Whatever limits connections in front of the broker counts the idle ones too, and would have none left for
-  // other clients long before descriptors run short here. A client whose next request crosses the close must
-  // send it again.
+  // A proxy that limits the connections to the broker counts idle connections too, and would have none left
+  // for other clients long before descriptors run short here. A client whose next request crosses the close
+  // must send the request again.
   std::vector<std::pair<Time, evhttp_connection*>> idle;
   for (auto& [connection, client] : clients_) {
     if (client->has_sent_request && client->is_idle()) idle.emplace_back(client->idle_since, connection);
   }
-  if (idle.size() > max_idle_) {  // the sockets are queried only where some must be closed
+  if (idle.size() > max_idle_) {  // the sockets are queried only if some must be closed
     std::erase_if(idle, [](const auto& entry) { return unread_bytes(entry.second) > 0; });
     const auto kept = idle.end() - static_cast<std::ptrdiff_t>(std::min(idle.size(), max_idle_));
     std::nth_element(idle.begin(), kept, idle.end());
@@ -300,7 +303,8 @@
   if (!clients_.empty() || is_paused_) sweep_timer_.start(kSweepInterval);
 }
 
-// Clients that connect and send nothing, or only a part of a request, would exhaust the descriptors.
+// Without timeouts, clients that connect and send nothing, or only a part of a request, would exhaust the
+// descriptors.
 bool HttpServer::has_timed_out(const ClientState& client) const {
   if (client.request || output_length(client.connection) > 0) return false;
   const Time at = now();
@@ -322,8 +326,8 @@
 }
 
 // Closes the connections that hold the largest incomplete requests until the rest is within the limit, so
-// that clients that stop before the end of a large body can't exhaust the memory. A client that writes a
-// large request slowly at such a time is closed too.
+// that clients that stop before the end of a large body can't exhaust the memory. While the limit is
+// exceeded, the connection of a client that writes a large request slowly may be closed too.
 void HttpServer::limit_incomplete_requests() {
   if (incomplete_bytes_ <= max_incomplete_bytes_) return;
   std::vector<std::pair<std::size_t, evhttp_connection*>> by_size;
@@ -342,9 +346,9 @@
   }
 }
 
-// Responds to a client that has sent part of a request before its connection is closed. Without a response
-// the client would assume that the broker failed while it handled the request. No output is pending ahead of
-// the response; what the kernel doesn't accept at once is dropped.
+// Sends a response before the connection of a client that has sent part of a request is closed. Without a
+// response the client would assume that the broker failed while it handled the request. No output is pending
+// ahead of the response; bytes that the kernel doesn't accept at once are dropped.
 void HttpServer::reject_incomplete(const ClientState& client) {
   if (!client.request_began_at) return;
   const std::string body = "the request came too slowly; nothing of it was used";
@@ -371,8 +375,8 @@
 }
 
 // Returns how long the request just read has waited since its last byte arrived, behind another request or
-// unread at its socket. While accepting is paused or the process is stalled, it is read long after it
-// arrived; endpoints would be told of time that the client no longer has.
+// unread at its socket. While accepting is paused or the process is stalled, a request is read long after it
+// arrived; without this time, attempts would state more time to endpoints than the client has left.
 Time HttpServer::waiting_time(ClientState& client) {
   const Time at = now();
   const Time behind_others = at - client.arrival_times.last_consumed_at(input_length(client.connection), at);
@@ -387,7 +391,7 @@
   client.set_incomplete_bytes(input_length(client.connection));
   const Time waited = waiting_time(client);
   watch_for_departure(client);
-  // No attempt may be sent for a client that has disconnected. The event just added closes the connection.
+  // No attempt may be sent for a client that has disconnected. The departure event closes the connection.
   if (peer_closed(socket_of(client.connection))) return;
   std::unique_ptr<dispatch::Responder> responder = std::make_unique<ConnectionResponder>(client);
   if (const char* error = find_framing_error(http_request)) {
@@ -416,7 +420,7 @@
         return nullptr;
       }
     }
-    return value;  // null where the header is repeated
+    return value;  // null if the header is repeated
   };
   evbuffer* body = evhttp_request_get_input_buffer(http_request);
   const std::size_t body_length = evbuffer_get_length(body);
@@ -439,10 +443,11 @@
     const RequestId id = request_parser_.start_request(request, std::move(responder));
     abandon = [this, id] { dispatcher_.abandon_request(id); };
   }
-  if (client.request) client.abandon = std::move(abandon);  // otherwise it has been responded to
+  if (client.request) client.abandon = std::move(abandon);  // null request: the response has been sent
 }
 
-// evhttp doesn't read while a request is in flight, so it doesn't notice that a client disconnects.
+// Watches the socket for the client's disconnection, which evhttp doesn't notice because it doesn't read
+// while a request is in flight.
 void HttpServer::watch_for_departure(ClientState& client) {
   const int fd = socket_of(client.connection);
   if (!client.departure) {
@@ -463,9 +468,9 @@
   event_add(client.departure, nullptr);
 }
 
-// Leaves bytes of a pipelined request unread until the response is written: evhttp parses one request at a
-// time. The departure event would be active in every turn, so it is removed and a timer checks for the
-// client's disconnection.
+// Leaves bytes of a pipelined request unread until the response is written, because evhttp parses one request
+// at a time. The departure event would be active in every turn, so the event is removed and a timer checks
+// for the client's disconnection.
 void HttpServer::defer_early_bytes(ClientState& client) {
   event_del(client.departure);
   client.has_early_bytes = true;
@@ -485,7 +490,8 @@
   for (evhttp_connection* connection : disconnected) evhttp_connection_free(connection);  // calls on_closed()
 }
 
-// Leaves the connections to their departure events, since this may be called from within their callbacks.
+// Abandons the requests only; the departure events close the connections, since this function may be called
+// from within their callbacks.
 void HttpServer::abandon_departed() {
   std::vector<std::function<void()>> to_abandon;
   for (auto& [connection, client] : clients_) {
@@ -506,8 +512,8 @@
 
 void HttpServer::close_after_responses() { closes_after_responses_ = true; }
 
-// Pipelined requests that have been read, or wait at the socket, are answered before the connection is
-// closed, for a limited time: closing it would lose them.
+// Pipelined requests that have been read, or are unread at the socket, would be lost if the connection were
+// closed. So they are answered first, for a limited time.
 bool HttpServer::closes_after_response(const ClientState& client) const {
   if (!closes_after_responses_) return false;
   if (has_stopped_accepting_ && now() - stopped_accepting_at_ > kPipelineTimeoutClosing) return true;
@@ -520,8 +526,8 @@
 }
 
 // While the process shuts down, idle connections that hold all descriptors would keep the backlog from being
-// accepted, and its connections are reset with the listener. A client that was about to send a request on a
-// connection closed here must connect again.
+// accepted, and the connections in the backlog would be reset when the listener is closed. A client that was
+// about to send a request on a connection closed here must connect again.
 void HttpServer::make_room() {
   if (!is_paused_) return;
   close_where([](const ClientState& client) { return client.is_idle(); });
@@ -532,7 +538,7 @@
   has_stopped_accepting_ = true;
   stopped_accepting_at_ = now();
   evconnlistener_disable(listener_);
-  // Otherwise the kernel would go on completing connections into the backlog, where requests are never read.
+  // Otherwise the kernel would continue to add connections to the backlog, whose requests are never read.
   shutdown(evconnlistener_get_fd(listener_), SHUT_RD);
   close_where([](const ClientState& client) { return client.is_idle(); });
 }
--- a/src/frontend/http/http_server.h
+++ b/src/frontend/http/http_server.h
@@ -26,46 +26,46 @@
   virtual ~Frontend() = default;
   virtual bool handles(std::string_view path) const = 0;
   // Starts the request, or responds to it at once.
-  // @return what to call should the client leave before the response is written; empty where there is nothing
-  //         to abandon
+  // @return a function to call if the client disconnects before the response is written; empty if there is
+  //         nothing to abandon
   virtual std::function<void()> handle(const platform::ClientRequest& request,
                                        std::unique_ptr<dispatch::Responder> responder) = 0;
 };
 
-// Accepts clients' connections, limits and times out idle ones and incomplete requests, and passes complete
-// requests to the frontends. Requests that no frontend handles go to the platform's parser.
+// Accepts clients' connections, limits idle connections and incomplete requests in number, size and time, and
+// passes complete requests to the frontends. Requests that no frontend handles go to the platform's parser.
 class HttpServer {
  public:
   // Frontends are asked in the order in which they were added. They must outlive the server's event loop.
   void add_frontend(Frontend& frontend) { frontends_.push_back(&frontend); }
   // @param pause_at_descriptor  accepting pauses once a new connection would get this descriptor number or
   //                             a higher one
-  // @param max_idle             connections without a request in flight that are kept after their first
-  //                             request; those idle longest are closed first
-  // @param max_incomplete_bytes of incomplete requests, over all connections
-  // @throws std::runtime_error where the address is invalid or can't be bound
+  // @param max_idle             limit of connections that had a request and have none in flight; beyond it
+  //                             the connections idle longest are closed first
+  // @param max_incomplete_bytes limit of the bytes of incomplete requests, over all connections
+  // @throws std::runtime_error if the address is invalid or can't be bound
   HttpServer(event_base* base, const std::string& listen_address, int pause_at_descriptor,
              std::size_t max_idle, std::size_t max_incomplete_bytes, platform::RequestParser& request_parser,
              dispatch::RequestDispatcher& dispatcher);
   ~HttpServer();
 
-  // From now on health checks fail.
+  // Makes health checks fail from now on.
   void set_not_ready() { is_ready_ = false; }
-  // Health checks fail until this is called: a broker that knows no endpoint would be given clients whose
-  // requests it must reject.
+  // Lets health checks succeed. They fail until this is called, because load balancers would otherwise send
+  // clients to a broker that knows no endpoint and must reject their requests.
   void set_can_serve() { can_serve_ = true; }
   // From now on a connection is closed after its response; pipelined requests are answered first, for a
   // limited time.
   void close_after_responses();
-  // Whether connections wait to be accepted.
+  // Returns whether connections wait to be accepted.
   bool has_backlog() const;
-  // Resumes accepting where it is paused, by closing idle connections.
+  // Closes idle connections if accepting is paused, so that accepting resumes.
   void make_room();
   // Abandons the requests of clients that have disconnected, ahead of the events of their disconnection.
   void abandon_departed();
   // Stops accepting and closes idle connections. Requests read from now on are rejected.
   void stop_accepting();
-  // Whether no connection is open, so that every response has been written.
+  // Returns whether no connection is open, so that every response has been written.
   bool is_idle() const { return clients_.empty() && new_connections_.empty(); }
 
  private:
@@ -96,18 +96,19 @@
   int pause_at_descriptor_;
   std::size_t max_idle_;
   std::size_t max_incomplete_bytes_;
-  std::size_t incomplete_bytes_ = 0;  // of incomplete requests, over all connections
+  std::size_t incomplete_bytes_ = 0;  // bytes of incomplete requests, over all connections
   Timer sweep_timer_;
   Timer early_bytes_timer_;  // checks whether clients that sent early bytes have disconnected
   Timer resume_timer_;       // enables the listener again after a failed accept
   platform::RequestParser& request_parser_;
   dispatch::RequestDispatcher& dispatcher_;
   std::vector<Frontend*> frontends_;
-  // Accepted in this turn of the loop; referenced until they get their state.
+  // Connections accepted in this turn of the loop; a reference is held until they get their ClientState.
   std::vector<bufferevent*> new_connections_;
   std::map<evhttp_connection*, std::unique_ptr<ClientState>> clients_;
   Time stopped_accepting_at_ = 0;
-  bool is_sweep_due_ = false;  // in this or the next turn, as incomplete requests exceed their limit
+  bool is_sweep_due_ =
+      false;  // a sweep follows in this or the next turn, as incomplete_bytes_ is over the limit
   bool is_paused_ = false;
   bool closes_after_responses_ = false;
   bool has_stopped_accepting_ = false;
--- a/src/frontend/opensearch/opensearch_frontend.cpp
+++ b/src/frontend/opensearch/opensearch_frontend.cpp
@@ -74,11 +74,11 @@
 
 }  // namespace
 
-// A request of the API with one search or several. It is responded to once, when all of them have ended.
+// An API request with one or more searches. It gets one response, when all searches have ended.
 struct OpenSearchFrontend::ApiRequest {
   std::unique_ptr<dispatch::Responder> responder;
   std::vector<os::Outcome> outcomes;
-  std::vector<RequestId> request_ids;  // by slot; 0 once ended
+  std::vector<RequestId> request_ids;  // by slot; 0 once the search has ended
   std::vector<Time> retry_after;
   std::size_t unfinished = 0;  // searches that have not ended
   Time began_at = now();
@@ -162,14 +162,14 @@
   }
 
  private:
-  // Returns the result of each shard, from its last attempt.
+  // Returns the result of each shard, which is the result of the shard's last attempt.
   os::Shards shard_summary(const dispatch::Request& request, bool is_complete) const {
     os::Shards summary;
     summary.total = static_cast<int>(request.shard_requests.size());
     for (const auto& shard_request : request.shard_requests) {
       if (answers_.count(shard_request->shard)) continue;
       if (is_complete) {
-        ++summary.skipped;  // the required share was reached without it
+        ++summary.skipped;  // the required share was reached without this shard
         continue;
       }
       os::Failure failure;
@@ -264,7 +264,7 @@
   return search(client_request, index_name, operation == "_count", std::move(responder));
 }
 
-// Returns what to call should the client leave; empty where all searches have ended.
+// Returns the function to call if the client disconnects; empty if all searches have ended.
 std::function<void()> OpenSearchFrontend::abandon_function(const std::shared_ptr<ApiRequest>& api_request) {
   if (api_request->unfinished == 0) return nullptr;
   return [this, api_request] {
@@ -278,7 +278,7 @@
 void OpenSearchFrontend::start_search(const std::shared_ptr<ApiRequest>& api_request, Slot slot,
                                       const IndexDefinition& index, const os::Search& search,
                                       const std::string& body, bool is_count) {
-  // Checked for each search, since one API request may hold a thousand.
+  // The memory is checked for each search, since one API request may hold a thousand searches.
   if (requests_.is_full()) return api_request->end_search(slot, os::pushed_back());
   auto request = std::make_unique<dispatch::Request>();
   do {
@@ -355,15 +355,15 @@
     return nullptr;
   }
   const auto& items = std::get<std::vector<os::Item>>(parsed);
-  // All searches are counted as unfinished before the first one starts, so that one that ends at once doesn't
-  // complete the response.
+  // All searches are counted as unfinished before the first one starts, so that a search that ends at once
+  // doesn't complete the response.
   const auto api_request = make_api_request(std::move(responder), items.size(), [](ApiRequest& ended) {
     std::string body =
         "{\"took\":" + std::to_string((now() - ended.began_at) / 1'000'000) + ",\"responses\":[";
     for (std::size_t i = 0; i < ended.outcomes.size(); ++i) {
       std::string& item_body = ended.outcomes[i].body;
       if (i) body += ',';
-      // In the API each item states its own status. Error bodies hold it already.
+      // In the API each item states its own status. Error bodies already hold the status.
       if (ended.outcomes[i].status == 200) {
         item_body.pop_back();
         item_body += ",\"status\":200}";
--- a/src/frontend/opensearch/opensearch_frontend.h
+++ b/src/frontend/opensearch/opensearch_frontend.h
@@ -1,6 +1,6 @@
 // The frontend for the OpenSearch-style query API: runs each search as a request through the dispatcher and
-// reports the results of its attempts in the terms of the API. docs/opensearch.md lists what is supported.
-// Makes no choices of its own.
+// reports the results of its attempts in the API's format. docs/opensearch.md lists the supported parts of
+// the API. Makes no choices of its own.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -13,23 +13,23 @@
 
 namespace cairnhub::frontend::opensearch {
 
-// An index as the operator declares it.
+// An index, as declared in the options.
 struct IndexDefinition {
   std::string name;
   int first_shard = 0;  // the index has the shards first_shard .. first_shard + shard_count - 1
   int shard_count = 1;
   int request_class = 0;
-  Time max_time = kSecond;  // for a search that doesn't state a shorter timeout
+  Time max_time = kSecond;  // time limit of a search that doesn't state a shorter timeout
 };
 
 // The state of the endpoints that the API reports.
 class EndpointView {
  public:
   virtual ~EndpointView() = default;
-  virtual std::string endpoint_name(EndpointId id) const = 0;  // empty where it is no longer known
+  virtual std::string endpoint_name(EndpointId id) const = 0;  // empty if the endpoint is no longer known
   // Returns the names of the ready endpoints that hold the shard.
   virtual std::vector<std::string> replica_names(int shard) const = 0;
-  virtual int ready_count() const = 0;  // endpoints that are ready
+  virtual int ready_count() const = 0;  // number of endpoints that are ready
 };
 
 // Handles _search, _msearch, _mget, _count, _cluster/health and _cat/shards.
@@ -45,7 +45,7 @@
  private:
   struct ApiRequest;
   class SearchCallbacks;
-  using Slot = std::size_t;  // the place of a search in its API request
+  using Slot = std::size_t;  // the index of a search in its API request
 
   std::function<void()> search(const frontend::platform::ClientRequest& client_request,
                                const std::string& index_name, bool is_count,
--- a/src/frontend/platform/request_parser.cpp
+++ b/src/frontend/platform/request_parser.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::size_t kMaxNameLength = 128;
-// How far the sum of the weights may be from 1.
+// Largest permitted difference between the sum of the weights and 1.
 constexpr double kWeightTolerance = 0.001;
 // status_of() compares these two by address.
 constexpr const char* kUnknownClass = "no such op type";
@@ -94,8 +94,8 @@
   request.name = client_request.name;
   request.request_class = entry->second.index;
   request.time_left = static_cast<Time>(std::min(seconds_left, seconds(entry->second.max_time)) * kSecond);
-  // The time that the request has waited is subtracted. Otherwise it would be worked on for longer than its
-  // client waits, and endpoints would be told of time that isn't left.
+  // The time that the request has waited is subtracted. Otherwise the broker would handle the request for
+  // longer than its client waits, and attempts would state more time to endpoints than is left.
   request.time_left =
       std::min(request.time_left, dispatcher_.limits(request.request_class).max_time) - client_request.waited;
   if (request.time_left <= 0) return kTimeIsUp;
--- a/src/frontend/platform/request_parser.h
+++ b/src/frontend/platform/request_parser.h
@@ -1,5 +1,5 @@
-// Parses and validates requests in the platform's format, and rejects those beyond hard limits. All further
-// decisions are the policy's.
+// Parses and validates requests in the platform's format, and rejects requests beyond hard limits. The policy
+// makes all further decisions.
 #pragma once
 #include <nlohmann/json_fwd.hpp>
 #include <string>
@@ -11,7 +11,7 @@
 
 namespace cairnhub::frontend::platform {
 
-// A client's HTTP request, not yet validated. Fields from headers are null where the header is missing or
+// A client's HTTP request, not yet validated. Fields from headers are null if the header is missing or
 // repeated.
 struct ClientRequest {
   std::string_view class_name;  // the request class that the path names
@@ -21,9 +21,9 @@
   const char* client_retry;     // X-Resent
   std::string_view body;
   std::string_view method = "POST";
-  std::string_view path = {};        // of the URL, not decoded
-  std::string_view parameters = {};  // of the URL, not decoded
-  // Since its last byte arrived: unread, or behind other requests of its connection.
+  std::string_view path = {};        // path of the URL, not decoded
+  std::string_view parameters = {};  // query parameters of the URL, not decoded
+  // Time since the request's last byte arrived, spent unread or behind other requests of the connection.
   Time waited = 0;
 };
 
@@ -33,18 +33,18 @@
   RequestParser(const settings::Settings& settings, dispatch::InFlightRequests& requests,
                 dispatch::RequestDispatcher& dispatcher);
 
-  // Starts a request, or responds with the reason for which it is rejected.
-  // @return its id; 0 where it is rejected
+  // Starts a request, or responds with the reason for its rejection.
+  // @return the request's id; 0 if the request is rejected
   RequestId start_request(const ClientRequest& client_request,
                           std::unique_ptr<dispatch::Responder> responder);
 
-  // Parses everything but the body. For other frontends too.
+  // Parses everything but the body. Also used by other frontends.
   // @return what is wrong, or null
   const char* parse_head(const ClientRequest& client_request, dispatch::Request& request) const;
-  // Parses the list of shards in the body. For other frontends too.
+  // Parses the list of shards in the body. Also used by other frontends.
   // @return what is wrong, or null
   const char* parse_shard_requests(const nlohmann::json& body, dispatch::Request& request) const;
-  // Whether new requests must be rejected because those in flight take too much memory.
+  // Returns whether new requests must be rejected because the requests in flight take too much memory.
   bool is_full() const { return requests_.is_full(); }
   // Returns the HTTP status for an error that parse_head() or parse_shard_requests() returned.
   static int status_of(const char* error);
--- a/src/frontend/platform/response_writer.cpp
+++ b/src/frontend/platform/response_writer.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Appends the bytes as the endpoint returned them, escaping only those that JSON text doesn't allow.
+// Appends the bytes as the endpoint returned them, escaping only bytes that JSON text doesn't allow.
 void append_escaped(std::string& out, std::string_view bytes) {
   for (const char c : bytes) {
     if (c == '"' || c == '\\') {
--- a/src/frontend/platform/response_writer.h
+++ b/src/frontend/platform/response_writer.h
@@ -1,4 +1,4 @@
-// Writes responses in the platform's format, whichever connection they go to.
+// Writes responses in the platform's format; a Responder sends them to the client.
 #pragma once
 #include <memory>
 #include <string>
@@ -11,7 +11,7 @@
 std::unique_ptr<dispatch::RequestCallbacks> make_request_callbacks(
     std::unique_ptr<dispatch::Responder> responder);
 
-// Returns the value of a Retry-After header in seconds, with decimals; empty where `retry_after` is 0.
+// Returns the value of a Retry-After header in seconds, with decimals; empty if `retry_after` is 0.
 std::string retry_after_text(Time retry_after);
 
 }  // namespace cairnhub::frontend::platform
--- a/src/frontend/two_phase/two_phase_frontend.cpp
+++ b/src/frontend/two_phase/two_phase_frontend.cpp
@@ -18,7 +18,7 @@
           {"whole", phase.whole}};
 }
 
-// Responds to a two-phase query in JSON. Details are inserted as the bytes that endpoints returned.
+// Responds to a two-phase query in JSON. Details are inserted as the unchanged bytes that endpoints returned.
 class JsonCallbacks : public dispatch::TwoPhaseCallbacks {
  public:
   explicit JsonCallbacks(std::unique_ptr<dispatch::Responder> responder) : responder_(std::move(responder)) {}
--- a/src/frontend/two_phase/two_phase_frontend.h
+++ b/src/frontend/two_phase/two_phase_frontend.h
@@ -1,4 +1,4 @@
-// The frontend for two-phase queries: POST /_two-phase/OP with a JSON body, see docs/two-phase.md. Parses
+// The frontend for two-phase queries: POST /_two-phase/OP with a JSON body (docs/two-phase.md). Parses
 // requests and writes responses; makes no choices of its own.
 #pragma once
 #include "dispatch/two_phase_runner.h"
@@ -23,7 +23,7 @@
 
 // Parses the JSON body of a two-phase query. Unknown members and members of the wrong type are errors.
 // @param request gets the shard requests
-// @return what is wrong, or empty
+// @return what is wrong, or an empty string
 std::string parse_body(std::string_view text, const frontend::platform::RequestParser& request_parser,
                        dispatch::Request& request, cairnhub::two_phase::Query& query);
 
