--- a/src/backend/framed/framed_client.cpp
+++ b/src/backend/framed/framed_client.cpp
@@ -345,8 +345,7 @@
     std::unique_ptr<Batch> batch = std::move(connection.waiting.front());
     connection.waiting.pop_front();
     framed::BatchFrame frame;
-    std::vector<std::size_t>
-        payload_ends;  // ends of the attempts' payloads; filled only if bytes are counted
+    std::vector<std::size_t> payload_ends;  // by attempt; filled only if bytes are counted
     for (InFlightAttempt* in_flight : batch->attempts) {
       const dispatch::ShardRequest& shard_request = *in_flight->attempt->shard_request;
       const std::string& body = shard_request.body ? *shard_request.body : shard_request.request->body;
--- a/src/dispatch/request.h
+++ b/src/dispatch/request.h
@@ -52,7 +52,7 @@
   Time sent_at = 0;
   Time expires_at = 0;
   Time ended_at = 0;
-  Time begins_by = kNever;  // latest time at which writing it may begin
+  Time begins_by = kNever;  // latest time at which the attempt's writing may begin
   bool has_ended = false;
   TrafficAccount account;                        // set only if bytes are counted
   AttemptOutcome outcome = AttemptOutcome::kOk;  // valid once has_ended is true
--- a/src/dispatch/request_dispatcher.h
+++ b/src/dispatch/request_dispatcher.h
@@ -28,7 +28,7 @@
     // Called whenever the rules are refreshed, since budgets change with each attempt and each byte.
     std::function<void()> refresh_budgets;
     std::function<void(Attempt&)> record_attempt;  // called before an attempt is sent
-    Time retry_after = 0;  // told to clients whose requests a class limit rejects; 0: no advice
+    Time retry_after = 0;  // sent to clients whose requests a class limit rejects; 0: no advice
   };
   // From now on the rules of the cluster are refreshed before each decision.
   void set_cluster_control(ClusterControl& cluster, ClusterHooks hooks);
--- a/src/dispatch/request_trace.h
+++ b/src/dispatch/request_trace.h
@@ -16,7 +16,7 @@
 // Writes the trace lines if the trace is enabled.
 class RequestTrace {
  public:
-  using EndpointNames = std::function<std::string(EndpointId)>;  // the name in the list; empty where unknown
+  using EndpointNames = std::function<std::string(EndpointId)>;  // the name in the list; empty if unknown
   explicit RequestTrace(EndpointNames endpoint_names);
   bool is_enabled() const { return is_enabled_; }
   // @param result      how the request ended
--- a/src/dispatch/two_phase_runner.h
+++ b/src/dispatch/two_phase_runner.h
@@ -35,8 +35,8 @@
                  RequestDispatcher& dispatcher, int class_count);
   ~TwoPhaseRunner();
 
-  // Allows two-phase queries of a request class. Call it once for each such class, after the settings' own
-  // classes have been added. The class must allow retries: a plan may query a shard again.
+  // Allows two-phase queries of a request class. Must be called once for each such class, after the settings'
+  // own classes have been added. The class must allow retries: a plan may query a shard again.
   void add_class(int request_class, const RequestClass& definition, const two_phase::Terms& terms);
   // Tightens a class, as RequestPolicy::limit_request_class() does.
   void limit_class(int request_class, const RequestClassLimits& limits);
--- a/src/frontend/http/http_server.h
+++ b/src/frontend/http/http_server.h
@@ -54,7 +54,7 @@
   // Lets health checks succeed. They fail until this is called, because load balancers would otherwise send
   // clients to a broker that knows no endpoint and must reject their requests.
   void set_can_serve() { can_serve_ = true; }
-  // From now on a connection is closed after its response; pipelined requests are answered first, for a
+  // Closes each connection after its response from now on; pipelined requests are answered first, for a
   // limited time.
   void close_after_responses();
   // Returns whether connections wait to be accepted.
@@ -107,8 +107,7 @@
   std::vector<bufferevent*> new_connections_;
   std::map<evhttp_connection*, std::unique_ptr<ClientState>> clients_;
   Time stopped_accepting_at_ = 0;
-  bool is_sweep_due_ =
-      false;  // a sweep follows in this or the next turn, as incomplete_bytes_ is over the limit
+  bool is_sweep_due_ = false;  // in this or the next turn, as incomplete_bytes_ is over its limit
   bool is_paused_ = false;
   bool closes_after_responses_ = false;
   bool has_stopped_accepting_ = false;
--- a/src/maintenance/maintenance_controller.h
+++ b/src/maintenance/maintenance_controller.h
@@ -14,7 +14,7 @@
 //   3. Every broker reports that it has no open attempts at these endpoints. A broker whose lease has expired
 //      counts as done once the time limit of the longest attempt has passed, as the broker cannot have begun
 //      an attempt there after step 2.
-//   4. Brokers on the machine hand over leadership and their votes, and stop.
+//   4. Brokers on the machine transfer leadership and their votes, and stop.
 // Only then is the machine empty and ready for maintenance. When the machine returns, the version readmits
 // its endpoints first, then the baseline does.
 #pragma once
--- a/src/zone_failover/failover_state_machine.h
+++ b/src/zone_failover/failover_state_machine.h
@@ -45,7 +45,7 @@
 
   FailoverState state() const { return state_; }
   int local_share_thousandths() const { return local_share_; }  // of its brokers' demand
-  // Whether other zones may send it more than the minimum share.
+  // Returns whether other zones may send this zone more than the minimum share.
   bool accepts_remote_traffic() const {
     return state_ == FailoverState::kLocal && confirmed_status_ != ZoneStatus::kDead &&
            confirmed_status_ != ZoneStatus::kOverloaded;
--- a/src/zone_failover/traffic_split.h
+++ b/src/zone_failover/traffic_split.h
@@ -37,7 +37,7 @@
 
 struct TrafficSplitOptions {
   double headroom_share = 0.1;  // share of the capacity that is kept free
-  // Share that each zone may always send to each other one; the common ground allows it too.
+  // Share that each zone may always send to each other zone; the common ground also allows this share.
   int min_share_thousandths = 30;
 };
 
