--- a/src/dispatch/request.h
+++ b/src/dispatch/request.h
@@ -39,7 +39,7 @@
   // Called with the value that an endpoint returned. May only record the value.
   virtual ValueUse on_value(const ShardRequest&, std::string_view) { return ValueUse::kKeep; }
   virtual void on_response(const Request& request, bool is_complete) = 0;
-  // The request has had no effect, so a retry is harmless. @param retry_after 0: no advice
+  // Called if the request is rejected; a retry is harmless. @param retry_after 0: no advice
   virtual void on_rejected(const Request& request, Time retry_after) = 0;
   virtual void on_failed(const Request& request) = 0;  // the request may have taken effect
 };
--- a/src/dispatch/two_phase_runner.h
+++ b/src/dispatch/two_phase_runner.h
@@ -22,7 +22,7 @@
  public:
   virtual ~TwoPhaseCallbacks() = default;
   virtual void on_response(const two_phase::Plan& plan, bool is_complete) = 0;
-  // The query has had no effect, so a retry is harmless. @param retry_after 0: no advice
+  // Called if the query is rejected; a retry is harmless. @param retry_after 0: no advice
   virtual void on_rejected(Time retry_after) = 0;
 };
 
--- a/src/maintenance/job_queue.h
+++ b/src/maintenance/job_queue.h
@@ -123,7 +123,7 @@
   bool operator==(const FleetStatus&) const = default;
 };
 
-// One operation in the log. Exactly one of the optional members is set.
+// One operation in the log; one of the optional members is set.
 struct JobOperation {
   Time stated_at = 0;
   std::optional<JobRequest> request;
--- a/src/zone_failover/zone_failover.h
+++ b/src/zone_failover/zone_failover.h
@@ -5,7 +5,7 @@
 //
 // Regions have state machines of their own, one level above the zones. The demand that the zones of a region
 // cannot handle together leaves the region once the overload has lasted for the region's confirmation time,
-// and returns after the region's dwell time; until the confirmation no more than the minimum share crosses
+// and returns after the region's dwell time; at all other times no more than the minimum share crosses
 // regions. The status of a region depends on the demand that its zones leave unplaced.
 //
 // A version (docs/accord.md) gives a broker the shares that its zone may send to each other zone, a rule
@@ -40,7 +40,7 @@
   TrafficSplitOptions traffic_split;
   Time load_window = kSecond;  // averaging window of ZoneLoad
   Time report_interval = kSecond / 2;
-  Time increase_delay = 10 * kSecond;  // delay of a table that only allows more
+  Time increase_delay = 10 * kSecond;  // delay before a table that only allows more is proposed
   // Relative changes of a share that are worth a new version.
   double decrease_threshold = 0.125;
   double increase_threshold = 0.25;
@@ -75,7 +75,7 @@
  public:
   ZoneFailover(const ZoneFailoverOptions& options, const std::string& broker);
 
-  // Records the result of an attempt of this broker; see ZoneLoad.
+  // Record the attempt results and the demand of this broker; see ZoneLoad.
   void record_attempt_result(Time now, const std::string& zone, EndpointId endpoint, AttemptOutcome outcome,
                              Time latency);
   void record_demand(Time now, double shard_requests, double remote_only) {
