--- a/src/maintenance/maintenance_controller.cpp
+++ b/src/maintenance/maintenance_controller.cpp
@@ -187,11 +187,11 @@
   const auto& in_force = versions.find(versions.in_force())->rules->endpoints_in_maintenance;
   if (!holds_all(baseline, job.request.endpoints)) {
     excluded_since_.erase(job.number);
-    return "the baseline rules don't exclude its nodes yet: every enlisted broker must take them up";
+    return "the common ground does not withhold it yet: every broker on the roster must take that up";
   }
   if (!holds_all(in_force, job.request.endpoints)) {
     excluded_since_.erase(job.number);
-    return "the version that excludes its nodes is not in force yet";
+    return "the version that withholds it is not in force yet";
   }
   const Time since = excluded_since_.try_emplace(job.number, now).first->second;
   const Time open_for_at_most =
@@ -222,7 +222,7 @@
     if (++missing <= kMaxNamedBrokers) names += (names.empty() ? "" : ", ") + broker;
   }
   if (missing == 0) return "";
-  return "brokers that have not reported zero open attempts: " + names +
+  return "not known to be done there: " + names +
          (missing > kMaxNamedBrokers ? " and " + std::to_string(missing - kMaxNamedBrokers) + " more" : "");
 }
 
@@ -278,7 +278,7 @@
             const bool is_running = broker == self_ || view.live_brokers.count(broker) ||
                                     (lease != view.leases.end() && lease->second.has_lease(now));
             if (!is_running) continue;
-            reason += (reason.empty() ? "brokers on it are still running: " : ", ") + broker;
+            reason += (reason.empty() ? "broker on it has not left: " : ", ") + broker;
             // A voter is stopped at once only if no other broker could take over its vote. Otherwise it waits
             // until the vote has moved, so that the vote is not lost with the voter. The leader transfers
             // leadership before it stops.
@@ -317,7 +317,7 @@
         const auto& in_force = versions.find(versions.in_force())->rules->endpoints_in_maintenance;
         std::string reason;
         if (holds_any(in_force, job.request.endpoints)) {
-          reason = "the version that readmits its nodes is not in force yet";
+          reason = "the version that brings it back is not in force yet";
         }
         for (const auto& endpoint : job.request.endpoints) {
           if (!reason.empty()) break;
