--- a/src/cluster/cluster_node.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -50,8 +50,7 @@
   terms.voters = options.voters;
   terms.incarnation = randombytes_random();
   terms.voter_replacement_delay = options.voter_replacement_delay;
-  // Elections take a small share of the stated time, so that the first
-  // commits after an election also fit
+  // Elections take a small share of the stated time, so that the first commits after an election also fit
   // into the stated time.
 
   const Time ms = kSecond / 1000;
--- a/src/frontend/opensearch/opensearch_frontend.cpp
+++ b/src/frontend/opensearch/opensearch_frontend.cpp
@@ -359,8 +359,7 @@
     return nullptr;
   }
   const auto& items = std::get<std::vector<os::MsearchItem>>(parsed);
-  // All searches are counted as unfinished before the
-  // first one starts, so that a search that ends at once
+  // All searches are counted as unfinished before the first one starts, so that a search that ends at once
   // doesn't complete the response.
 
   const auto api_request = make_api_request(std::move(responder), items.size(), [](ApiRequest& ended) {
--- a/src/shared_config/raft_node.h
+++ b/src/shared_config/raft_node.h
@@ -48,8 +48,7 @@
  public:
   // Called with each applied entry and its result.
   using Applied = std::function<void(const ConfigEntry&, const ApplyResult&)>;
-  // `store` must outlive the node. `board`: the initial state
-  // of the additional state machine, if the log
+  // `store` must outlive the node. `board`: the initial state of the additional state machine, if the log
   // drives one.
   RaftNode(const RaftSettings& settings, const std::string& name, DurableStore& store, std::uint64_t seed,
            Applied applied, std::shared_ptr<const ReplicatedStateMachine> board = nullptr);
@@ -74,13 +73,10 @@
 
   // Called with the result, or with none if it is unknown whether the entry will be committed.
   using Done = std::function<void(const std::optional<ApplyResult>&)>;
-  // Returns false, without calling `done`, if
-  // this node is not the leader.
+  // Proposes an entry for the log. Returns false, without calling `done`, if this node is not the leader.
   bool propose(Time now, const ConfigEntry& entry, Done done);
-  // Adds a non-voting member, or promotes the member `id` to a voter if it was
-  // added before. Returns false if
+  // Adds a non-voting member, or promotes the member `id` to a voter if it was added before. Returns false if
   // this node is not the leader or another change is in progress.
-
   bool add_voter(Time now, std::uint64_t id, const std::string& name);
   bool remove_voter(Time now, std::uint64_t id);
   bool has_change_in_progress() const;
